--- a/packages/hingesill-core/hingesill_core/crashes/verdicts.py
+++ b/packages/hingesill-core/hingesill_core/crashes/attribution.py
@@ -4,10 +4,10 @@
 
 from hingesill_core.crashes.fingerprint import get_breadth
 
-__all__ = ["ENOUGH_ENDINGS", "find_basis", "is_certain"]
+__all__ = ["MIN_CRASHES", "find_basis", "is_certain"]
 
 # Endings after which a request is held back, for a moment at least.
-ENOUGH_ENDINGS = 3
+MIN_CRASHES = 3
 # Endings after which a request is held back for long, whatever else ends endpoints.
 MANY_ENDINGS = 5
 # Longest gap between endings of one event, in seconds: many endpoints may end at once
@@ -47,7 +47,7 @@
     later than the request was held back still lets it go.
     """
     times = sorted(ending.at for ending in endings)
-    return times[-ENOUGH_ENDINGS:][0]
+    return times[-MIN_CRASHES:][0]
 
 
 def is_certain(history, fingerprint, held, was_held):
@@ -55,7 +55,7 @@
 
     Parameters
     ----------
-    history : EndingHistory
+    history : CrashHistory
         What is known.
     fingerprint : str
         Of the request.
@@ -75,7 +75,7 @@
     with the culprit more than once. Where another request explains the same
     endings, or most endings around are not its own, it takes more of them.
     """
-    endings = history.get_endings(fingerprint)
+    endings = history.get_crashes(fingerprint)
     if count_events(endings) + was_held < 2:
         return False
     if len(endings) >= MANY_ENDINGS:
@@ -108,7 +108,7 @@
 def list_lives(history, breadth):
     """Return the Life of each ending by fingerprints of one breadth."""
     by_endpoint = {}
-    for fingerprint, ending in history.list_endings():
+    for fingerprint, ending in history.list_crashes():
         if get_breadth(fingerprint) == breadth:
             by_endpoint.setdefault(ending.endpoint, []).append((ending, fingerprint))
     lives = []
--- a/packages/hingesill-core/hingesill_core/crashes/guard.py
+++ b/packages/hingesill-core/hingesill_core/crashes/guard.py
@@ -2,15 +2,15 @@
 
 from msgspec import Struct
 
-from hingesill_core.crashes.gossip import Gossip
-from hingesill_core.crashes.history import Ending, EndingHistory
-from hingesill_core.crashes.messages import Told, ToldKind
-from hingesill_core.crashes.quarantine import Quarantine, QuarantinedRequest
-from hingesill_core.crashes.verdicts import (
-    ENOUGH_ENDINGS,
+from hingesill_core.crashes.attribution import (
+    MIN_CRASHES,
     find_basis,
     is_certain,
 )
+from hingesill_core.crashes.gossip import Gossip
+from hingesill_core.crashes.history import CrashHistory, EndpointCrash
+from hingesill_core.crashes.messages import Told, ToldKind
+from hingesill_core.crashes.quarantine import Quarantine, QuarantinedRequest
 
 __all__ = ["CrashGuard", "FROM_STORE", "HoldBegun", "HoldEnded"]
 
@@ -63,7 +63,7 @@
 
     def __init__(self, rng, observe=lambda change: None):
         self.observe = observe
-        self.history = EndingHistory()
+        self.history = CrashHistory()
         self.quarantine = Quarantine()
         self.gossip = Gossip(rng)
         self.nodes = 1
@@ -92,7 +92,7 @@
 
     def is_suspect(self, fingerprints):
         """Tell whether an endpoint ended under a request and none answered it since."""
-        return any(self.history.get_endings(name) for name in fingerprints)
+        return any(self.history.get_crashes(name) for name in fingerprints)
 
     def is_cleared(self, fingerprint):
         """Tell whether a request that others may hold back was answered meanwhile."""
@@ -117,12 +117,12 @@
             self.quarantine.is_on_trial(name, now) for name in fingerprints
         ):
             return False
-        known = max(len(self.history.get_endings(name)) for name in fingerprints)
-        return known + pending < ENOUGH_ENDINGS
+        known = max(len(self.history.get_crashes(name)) for name in fingerprints)
+        return known + pending < MIN_CRASHES
 
-    def note_ending(self, fingerprints, endpoint, now):
+    def record_crash(self, fingerprints, endpoint, now):
         """Take that an endpoint ended while it had a request of this node."""
-        self._take_ending(fingerprints, Ending(endpoint, now), now)
+        self._take_ending(fingerprints, EndpointCrash(endpoint, now), now)
 
     def note_answer(self, fingerprints, now):
         """Take that an endpoint answered a request of this node."""
@@ -138,7 +138,7 @@
         """Take what another node told."""
         at = now - told.age
         if told.kind is ToldKind.ENDED:
-            self._take_ending(told.fingerprints, Ending(told.endpoint, at), now)
+            self._take_ending(told.fingerprints, EndpointCrash(told.endpoint, at), now)
         elif told.kind is ToldKind.ANSWERED:
             self._take_answer(told.fingerprints, at)
         else:
@@ -172,7 +172,7 @@
         told = [build_held(name, request, now) for name, request in held.items()]
         told += [
             Told(ToldKind.ENDED, (name,), now - ending.at, ending.endpoint)
-            for name, ending in self.history.list_endings()
+            for name, ending in self.history.list_crashes()
             if name not in held
         ]
         return told
@@ -198,10 +198,12 @@
         return Told(kind, fingerprints, now - at, endpoint)
 
     def _take_ending(self, fingerprints, ending, now):
-        news = [name for name in fingerprints if self.history.note_ending(name, ending)]
+        news = [
+            name for name in fingerprints if self.history.record_crash(name, ending)
+        ]
         if not news:
             return
-        counts = [len(self.history.get_endings(name)) for name in fingerprints]
+        counts = [len(self.history.get_crashes(name)) for name in fingerprints]
         key = (ToldKind.ENDED, fingerprints, ending.endpoint, ending.at)
         self.gossip.add(key, self.nodes, rank=max(counts))
         narrower = 0
@@ -213,9 +215,9 @@
 
     def _judge(self, fingerprint, now):
         """Hold a request back if enough is known against it."""
-        endings = self.history.get_endings(fingerprint)
+        endings = self.history.get_crashes(fingerprint)
         is_on_trial = self.quarantine.is_on_trial(fingerprint, now)
-        if is_on_trial or len(endings) >= ENOUGH_ENDINGS:
+        if is_on_trial or len(endings) >= MIN_CRASHES:
             self._hold(fingerprint, endings, now)
 
     def _hold(self, fingerprint, endings, now):
@@ -237,7 +239,7 @@
         if source != FROM_STORE and request.times:
             key = (ToldKind.HELD, (fingerprint,), "", request.since)
             self.gossip.add(key, self.nodes, rank=HELD_RANK)
-        endings = self.history.get_endings(fingerprint)
+        endings = self.history.get_crashes(fingerprint)
         self.observe(HoldBegun(fingerprint, request, endings, source))
 
     def _take_answer(self, fingerprints, at):
--- a/packages/hingesill-core/hingesill_core/crashes/history.py
+++ b/packages/hingesill-core/hingesill_core/crashes/history.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, field
 
-__all__ = ["Ending", "EndingHistory", "SAME_LIFE_SECONDS"]
+__all__ = ["EndpointCrash", "CrashHistory", "SAME_LIFE_SECONDS"]
 
 # What several nodes saw of one end of an endpoint lies closer together, and one that
 # ended needs longer to be back. So lives are told apart without the endpoint's word,
@@ -16,7 +16,7 @@
 MOST_ENDINGS = 8
 
 
-class Ending(Struct, frozen=True):
+class EndpointCrash(Struct, frozen=True):
     """An endpoint ended while it had a request.
 
     Parameters
@@ -55,7 +55,7 @@
         return max((e.at for e in self.endings), default=self.answered_at)
 
 
-class EndingHistory:
+class CrashHistory:
     """Endings by the fingerprint of the request; bounded in number and time.
 
     Notes
@@ -73,12 +73,12 @@
     def __contains__(self, fingerprint):
         return fingerprint in self._requests
 
-    def get_endings(self, fingerprint):
+    def get_crashes(self, fingerprint):
         """Return the endings that count against a request."""
         request = self._requests.get(fingerprint)
         return tuple(request.endings) if request is not None else ()
 
-    def list_endings(self):
+    def list_crashes(self):
         """Yield fingerprint and Ending of all that count."""
         for fingerprint, request in self._requests.items():
             for ending in request.endings:
@@ -89,7 +89,7 @@
         request = self._requests.get(fingerprint)
         return request.answered_at if request is not None else float("-inf")
 
-    def note_ending(self, fingerprint, ending):
+    def record_crash(self, fingerprint, ending):
         """Take an Ending; return whether it was not known.
 
         Notes
--- a/packages/hingesill-core/hingesill_core/crashes/tests/crashplay.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/crashsimulation.py
@@ -7,7 +7,7 @@
 from hingesill_core.crashes.gossip import ROUND_SECONDS
 from hingesill_core.crashes.guard import CrashGuard, HoldBegun
 
-__all__ = ["CrashPlay"]
+__all__ = ["CrashSimulation"]
 
 SLOTS = 3
 WAY_SECONDS = 0.002
@@ -31,7 +31,7 @@
         self.sends = 0
 
 
-class CrashPlay:
+class CrashSimulation:
     """Plays what happens until a time.
 
     Parameters
@@ -189,7 +189,7 @@
         """Take the loss of a try at its node: find out, and send again or give up."""
         guard = self.guards[attempt.node]
         may_send = guard.may_send_again((attempt.fingerprint,), self.now, 1)
-        guard.note_ending((attempt.fingerprint,), name, self.now)
+        guard.record_crash((attempt.fingerprint,), name, self.now)
         self._begin_rounds(attempt.node)
         if may_send and attempt.sends < MOST_SENDS:
             self.at(self.now + WAY_SECONDS, self.send, attempt)
--- a/packages/hingesill-core/hingesill_core/crashes/tests/test_crashplay.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/test_crashsimulation.py
@@ -7,7 +7,7 @@
 
 import unittest
 
-from hingesill_core.crashes.tests.crashplay import CrashPlay
+from hingesill_core.crashes.tests.crashsimulation import CrashSimulation
 
 MOST_LATER = 3
 HOT = [f"a-hot{number}" for number in range(4)]
@@ -15,7 +15,7 @@
 
 def play_repeats(nodes, endpoints, pause, names=1, seed=1, prepare=None, **options):
     """Play requests that end endpoints beside others; return the play."""
-    play = CrashPlay(nodes, endpoints, seed, **options)
+    play = CrashSimulation(nodes, endpoints, seed, **options)
     until = 12 * pause + 12.0
     for number in range(names):
         play.repeat(f"a-bad{number}", 1.0, pause, until)
@@ -82,7 +82,7 @@
         for amount, endpoints, gap in ((10, 14, 0.05), (6, 7, 0.1), (14, 14, 0.0)):
             for seed in range(5):
                 with self.subTest(amount=amount, gap=gap, seed=seed):
-                    play = CrashPlay(13, endpoints, seed, back_after=3.0)
+                    play = CrashSimulation(13, endpoints, seed, back_after=3.0)
                     for begin in (2.0, 6.0, 10.0):
                         play.end_endpoints(begin, amount, gap)
                     play.load(60.0, 16.0, HOT)
--- a/packages/hingesill-core/hingesill_core/crashes/tests/test_guard.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/test_guard.py
@@ -24,7 +24,7 @@
     def end(self, *endings, fingerprint=BAD):
         """Note endings, given as endpoint and time."""
         for endpoint, at in endings:
-            self.guard.note_ending((fingerprint,), endpoint, at)
+            self.guard.record_crash((fingerprint,), endpoint, at)
 
     def get_seconds(self, now, fingerprint=BAD):
         """Return for how long a request is held back; 0 if it is not."""
@@ -116,7 +116,7 @@
     """What of a request ends endpoints is found out."""
 
     def note(self, caller, endpoint, at):
-        self.guard.note_ending((f"a-{caller}", "b-content"), endpoint, at)
+        self.guard.record_crash((f"a-{caller}", "b-content"), endpoint, at)
 
     def test_the_narrowest_that_explains_all_is_held_back(self):
         for endpoint, at in (("i1", 1.0), ("i2", 1.1), ("i3", 5.0)):
@@ -160,7 +160,7 @@
 
     def test_endings_of_several_nodes_are_added_up(self):
         other = CrashGuard(random.Random(2))
-        other.note_ending((BAD,), "i3", 5.0)
+        other.record_crash((BAD,), "i3", 5.0)
         self.end(("i1", 1.0), ("i2", 1.1))
         self.tell(other, 5.5)
         self.assertIsNotNone(other.find_hold((BAD,), 5.5))
--- a/packages/hingesill-node/hingesill_node/crashes/endings.py
+++ b/packages/hingesill-node/hingesill_node/crashes/crashchecks.py
@@ -5,13 +5,13 @@
 from hingesill_node.datapath.connections import ConnectFailed, EndpointConnection
 from hingesill_node.telemetry.events import Event, log_event
 
-__all__ = ["EndingChecks"]
+__all__ = ["CrashChecks"]
 
 # A process that ends may close its connections a moment before it stops to listen.
 PAUSE_SECONDS = 0.01
 
 
-class EndingChecks:
+class CrashChecks:
     """Connects to endpoints whose answers were lost, and tells of those that ended.
 
     Parameters
--- a/packages/hingesill-node/hingesill_node/crashes/requestguard.py
+++ b/packages/hingesill-node/hingesill_node/crashes/requestguard.py
@@ -6,7 +6,7 @@
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.routing.messages import Refusal
 from hingesill_node.clocks import read_boot_time
-from hingesill_node.crashes.endings import EndingChecks
+from hingesill_node.crashes.crashchecks import CrashChecks
 from hingesill_node.telemetry.events import Event, log_event
 
 __all__ = ["RequestGuard"]
@@ -31,7 +31,7 @@
     def __init__(self, clock=read_boot_time, rng=None):
         self.clock = clock
         self.decisions = CrashGuard(rng or random.Random(), log_change)
-        self._checks = EndingChecks(self._note_endings)
+        self._checks = CrashChecks(self._note_endings)
 
     def find_refusal(self, request, may_have_run=False):
         """Return the Refusal of a request that must not be sent, or None.
@@ -86,7 +86,7 @@
     def _note_endings(self, endpoint, requests):
         now = self.clock()
         for fingerprints in sorted(requests):
-            self.decisions.note_ending(fingerprints, endpoint, now)
+            self.decisions.record_crash(fingerprints, endpoint, now)
 
 
 def log_change(change):
--- a/packages/hingesill-node/hingesill_node/crashes/tests/test_holdstore.py
+++ b/packages/hingesill-node/hingesill_node/crashes/tests/test_holdstore.py
@@ -55,7 +55,7 @@
 
     def end(self, *times):
         for number, at in enumerate(times):
-            self.guard.decisions.note_ending(BAD, f"i{number}", at)
+            self.guard.decisions.record_crash(BAD, f"i{number}", at)
 
     def hold(self):
         self.end(97.0, 98.5, 100.0)
--- a/packages/hingesill-node/hingesill_node/crashes/tests/test_spreading.py
+++ b/packages/hingesill-node/hingesill_node/crashes/tests/test_spreading.py
@@ -46,7 +46,7 @@
     def end(self, number, endpoint):
         """Have an endpoint end at a node."""
         guard = self.guards[number]
-        guard.decisions.note_ending(BAD, endpoint, guard.clock())
+        guard.decisions.record_crash(BAD, endpoint, guard.clock())
 
     def wait(self, condition):
         with eventlet.Timeout(SECONDS):
@@ -70,7 +70,7 @@
         guard = RequestGuard()
         address = draw_address()
         self.start(guard, f"{address[0]}:{address[1]}", self.addresses)
-        self.wait(lambda: len(guard.decisions.history.get_endings(BAD[0])) == 2)
+        self.wait(lambda: len(guard.decisions.history.get_crashes(BAD[0])) == 2)
 
     def test_bytes_that_are_no_batch_change_nothing(self):
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -78,7 +78,7 @@
             sock.sendto(data, self.addresses[0])
         self.end(1, "i1")
         history = self.guards[0].decisions.history
-        self.wait(lambda: history.get_endings(BAD[0]))
+        self.wait(lambda: history.get_crashes(BAD[0]))
 
 
 class SharedSocketTests(SpreadingTests):
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_guarded.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_guarded.py
@@ -24,7 +24,7 @@
         """Have endpoints end under the request, so many seconds ago."""
         now = self.guard.clock()
         for number, age in enumerate(ages):
-            self.guard.decisions.note_ending(
+            self.guard.decisions.record_crash(
                 self.request.fingerprints, f"e{number}", now - age
             )
 
