--- a/packages/hingesill-core/hingesill_core/crashes/guard.py
+++ b/packages/hingesill-core/hingesill_core/crashes/guard.py
@@ -12,19 +12,19 @@
 from hingesill_core.crashes.messages import Told, ToldKind
 from hingesill_core.crashes.quarantine import Quarantine, QuarantinedRequest
 
-__all__ = ["CrashGuard", "FROM_STORE", "HoldBegun", "HoldEnded"]
+__all__ = ["CrashGuard", "SOURCE_STORE", "QuarantineStarted", "QuarantineEnded"]
 
 # How often what is too old is looked for.
 FORGET_SECONDS = 10.0
 # Who told of a hold.
-FROM_STORE = "store"
-FROM_NODE = "node"
-FROM_ENDINGS = "endings"
+SOURCE_STORE = "store"
+SOURCE_NODE = "node"
+SOURCE_CRASHES = "endings"
 # In gossip a hold goes before any number of endings.
 HELD_RANK = 100
 
 
-class HoldBegun(Struct, frozen=True):
+class QuarantineStarted(Struct, frozen=True):
     """A request is held back from now on."""
 
     fingerprint: str
@@ -33,7 +33,7 @@
     source: str
 
 
-class HoldEnded(Struct, frozen=True):
+class QuarantineEnded(Struct, frozen=True):
     """A request that was held back may be sent again."""
 
     fingerprint: str
@@ -54,7 +54,7 @@
     rng : random.Random
         For gossip.
     observe : callable
-        Called with each HoldBegun and HoldEnded.
+        Called with each QuarantineStarted and QuarantineEnded.
 
     Notes
     -----
@@ -74,7 +74,7 @@
         """Whether nothing at all is known against any request."""
         return not self.history and not self.quarantine
 
-    def find_hold(self, fingerprints, now):
+    def find_quarantine(self, fingerprints, now):
         """Return the QuarantinedRequest of a request that must not be sent, or None.
 
         Parameters
@@ -111,10 +111,10 @@
         pending : int
             Endpoints that may have ended under it, which is being looked at.
         """
-        if self.find_hold(fingerprints, now) is not None:
+        if self.find_quarantine(fingerprints, now) is not None:
             return False
         if pending and any(
-            self.quarantine.is_on_trial(name, now) for name in fingerprints
+            self.quarantine.is_on_probation(name, now) for name in fingerprints
         ):
             return False
         known = max(len(self.history.get_crashes(name)) for name in fingerprints)
@@ -144,7 +144,7 @@
         else:
             request = QuarantinedRequest(at, now + told.left, told.times)
             for fingerprint in told.fingerprints:
-                self.adopt(fingerprint, request, FROM_NODE)
+                self.adopt(fingerprint, request, SOURCE_NODE)
 
     def adopt(self, fingerprint, request, source):
         """Hold a request back for long, as another node does.
@@ -191,7 +191,7 @@
     def _build_told(self, key, now):
         kind, fingerprints, endpoint, at = key
         if kind is ToldKind.HELD:
-            held = self.find_hold(fingerprints, now)
+            held = self.find_quarantine(fingerprints, now)
             if held is None or not held.times:
                 return None
             return build_held(fingerprints[0], held, now)
@@ -216,8 +216,8 @@
     def _judge(self, fingerprint, now):
         """Hold a request back if enough is known against it."""
         endings = self.history.get_crashes(fingerprint)
-        is_on_trial = self.quarantine.is_on_trial(fingerprint, now)
-        if is_on_trial or len(endings) >= MIN_CRASHES:
+        is_on_probation = self.quarantine.is_on_probation(fingerprint, now)
+        if is_on_probation or len(endings) >= MIN_CRASHES:
             self._hold(fingerprint, endings, now)
 
     def _hold(self, fingerprint, endings, now):
@@ -233,14 +233,14 @@
             return
         since = find_basis(endings)
         request = self.quarantine.hold(fingerprint, since, now, certain)
-        self._begin_hold(fingerprint, request, FROM_ENDINGS)
+        self._begin_hold(fingerprint, request, SOURCE_CRASHES)
 
     def _begin_hold(self, fingerprint, request, source):
-        if source != FROM_STORE and request.times:
+        if source != SOURCE_STORE and request.times:
             key = (ToldKind.HELD, (fingerprint,), "", request.since)
             self.gossip.add(key, self.nodes, rank=HELD_RANK)
         endings = self.history.get_crashes(fingerprint)
-        self.observe(HoldBegun(fingerprint, request, endings, source))
+        self.observe(QuarantineStarted(fingerprint, request, endings, source))
 
     def _take_answer(self, fingerprints, at):
         news = [name for name in fingerprints if self.history.note_answer(name, at)]
@@ -254,7 +254,7 @@
         if held is None or held.since > at:
             return False
         self.quarantine.release(fingerprint)
-        self.observe(HoldEnded(fingerprint, "answered"))
+        self.observe(QuarantineEnded(fingerprint, "answered"))
         return True
 
     def forget(self, now):
--- a/packages/hingesill-core/hingesill_core/crashes/quarantine.py
+++ b/packages/hingesill-core/hingesill_core/crashes/quarantine.py
@@ -2,19 +2,19 @@
 
 from msgspec import Struct
 
-__all__ = ["HOLD_SECONDS", "Quarantine", "QuarantinedRequest"]
+__all__ = ["QUARANTINE_SECONDS", "Quarantine", "QuarantinedRequest"]
 
 # While it is not certain what ended endpoints, so that a request which was there by
 # chance is tried again before its caller gives up.
-SHORT_HOLD_SECONDS = 1.0
+SHORT_QUARANTINE_SECONDS = 1.0
 # Of a first long hold; each further one is twice as long. The platform's store grants
 # no longer lease, so what is kept there ends by itself.
-HOLD_SECONDS = 600.0
-LONGEST_HOLD_SECONDS = 3600.0
+QUARANTINE_SECONDS = 600.0
+MAX_QUARANTINE_SECONDS = 3600.0
 # After a hold, for how long one more ending holds the request back again.
 TRIAL_SECONDS = 600.0
 # Bound of the memory of a node and of what may lie in the store.
-MOST_HELD = 256
+MAX_QUARANTINED_REQUESTS = 256
 
 
 class QuarantinedRequest(Struct, frozen=True):
@@ -38,7 +38,7 @@
         """Tell whether it is held back."""
         return now < self.until
 
-    def is_on_trial(self, now):
+    def is_on_probation(self, now):
         """Tell whether it was let go, but not long ago."""
         return self.until <= now < self.until + TRIAL_SECONDS
 
@@ -75,16 +75,16 @@
         """Return the fingerprints of those that were held back for long."""
         return {name for name, request in self._requests.items() if request.times}
 
-    def is_on_trial(self, fingerprint, now):
+    def is_on_probation(self, fingerprint, now):
         """Tell whether one more ending holds a request back again."""
         request = self._requests.get(fingerprint)
-        return request is not None and request.is_on_trial(now)
+        return request is not None and request.is_on_probation(now)
 
     def hold(self, fingerprint, since, now, is_certain):
         """Hold a request back from now on; return its QuarantinedRequest."""
         before = self._requests.get(fingerprint)
         times = before.times if before is not None else 0
-        seconds = SHORT_HOLD_SECONDS
+        seconds = SHORT_QUARANTINE_SECONDS
         if is_certain:
             times += 1
             seconds = compute_hold(times)
@@ -93,7 +93,10 @@
 
     def adopt(self, fingerprint, request):
         """Hold a request back as another node does; return the QuarantinedRequest."""
-        if fingerprint not in self._requests and len(self._requests) >= MOST_HELD:
+        if (
+            fingerprint not in self._requests
+            and len(self._requests) >= MAX_QUARANTINED_REQUESTS
+        ):
             self._requests.pop(next(iter(self._requests)))
         self._requests[fingerprint] = request
         return request
@@ -105,10 +108,10 @@
     def forget(self, now):
         """Forget requests that have passed their trial."""
         for fingerprint, request in list(self._requests.items()):
-            if not (request.is_active(now) or request.is_on_trial(now)):
+            if not (request.is_active(now) or request.is_on_probation(now)):
                 del self._requests[fingerprint]
 
 
 def compute_hold(times):
     """Return the seconds of a long hold, the first one or a further one."""
-    return min(LONGEST_HOLD_SECONDS, HOLD_SECONDS * 2 ** (times - 1))
+    return min(MAX_QUARANTINE_SECONDS, QUARANTINE_SECONDS * 2 ** (times - 1))
--- a/packages/hingesill-core/hingesill_core/crashes/tests/crashsimulation.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/crashsimulation.py
@@ -5,7 +5,7 @@
 from itertools import count
 
 from hingesill_core.crashes.gossip import ROUND_SECONDS
-from hingesill_core.crashes.guard import CrashGuard, HoldBegun
+from hingesill_core.crashes.guard import CrashGuard, QuarantineStarted
 
 __all__ = ["CrashSimulation"]
 
@@ -86,7 +86,7 @@
         return guard
 
     def _observe(self, change):
-        if isinstance(change, HoldBegun):
+        if isinstance(change, QuarantineStarted):
             self.holds.add(change.fingerprint)
             if change.request.times:
                 self.long_holds.add(change.fingerprint)
@@ -143,7 +143,7 @@
     def send(self, attempt):
         """Send a try to an endpoint with a free slot, unless it is held back."""
         guard = self.guards[attempt.node]
-        if guard.find_hold((attempt.fingerprint,), self.now) is not None:
+        if guard.find_quarantine((attempt.fingerprint,), self.now) is not None:
             refused = self.refused.get(attempt.fingerprint, 0)
             self.refused[attempt.fingerprint] = refused + 1
             return
--- a/packages/hingesill-core/hingesill_core/discovery/directory.py
+++ b/packages/hingesill-core/hingesill_core/discovery/directory.py
@@ -28,7 +28,7 @@
     profile : Profile or None
         What nodes have learnt of the services.
     held : dict
-        HeldRequest by fingerprint; it is replaced, never changed.
+        QuarantineRecord by fingerprint; it is replaced, never changed.
     returned_at : float
         When the store last came back, in seconds of the node's clock.
     """
--- a/packages/hingesill-core/hingesill_core/discovery/records.py
+++ b/packages/hingesill-core/hingesill_core/discovery/records.py
@@ -11,7 +11,7 @@
     "Declared",
     "DeclaredService",
     "EndpointRecord",
-    "HeldRequest",
+    "QuarantineRecord",
     "HistoryGone",
     "Limits",
     "NodeRecord",
@@ -133,7 +133,7 @@
     strength: float = 1.0
 
 
-class HeldRequest(Struct, frozen=True):
+class QuarantineRecord(Struct, frozen=True):
     """A request that is sent to no endpoint, as endpoints ended under it.
 
     Parameters
@@ -171,7 +171,7 @@
         By data centre, the revision at which the operator asked that nothing more be
         sent to its endpoints.
     held : dict
-        HeldRequest by fingerprint.
+        QuarantineRecord by fingerprint.
     unlisted : tuple of str
         Nodes that are believed though a restored store lacks their entries.
     """
@@ -182,7 +182,7 @@
     nodes: dict[str, NodeRecord] = field(default_factory=dict)
     profile: Profile | None = None
     evacuated: dict[str, int] = field(default_factory=dict)
-    held: dict[str, HeldRequest] = field(default_factory=dict)
+    held: dict[str, QuarantineRecord] = field(default_factory=dict)
     unlisted: tuple[str, ...] = ()
 
 
@@ -203,7 +203,7 @@
         Data centres that were evacuated, with the revision; None for those that were
         restored.
     held : dict
-        HeldRequest as they were written; None for those that were let go.
+        QuarantineRecord as they were written; None for those that were let go.
     unlisted : tuple of str or None
         Nodes that are believed though a restored store lacks their entries; None if
         they are the same as before.
@@ -215,7 +215,7 @@
     nodes: dict[str, NodeRecord | None] = field(default_factory=dict)
     profile: Profile | None = None
     evacuated: dict[str, int | None] = field(default_factory=dict)
-    held: dict[str, HeldRequest | None] = field(default_factory=dict)
+    held: dict[str, QuarantineRecord | None] = field(default_factory=dict)
     unlisted: tuple[str, ...] | None = None
 
 
--- a/packages/hingesill-node/hingesill_node/crashes/datagrams.py
+++ b/packages/hingesill-node/hingesill_node/crashes/datagrams.py
@@ -6,7 +6,10 @@
 from hingesill_core.crashes.fingerprint import Breadth
 from hingesill_core.crashes.history import MEMORY_SECONDS
 from hingesill_core.crashes.messages import Batch, ToldKind
-from hingesill_core.crashes.quarantine import LONGEST_HOLD_SECONDS, MOST_HELD
+from hingesill_core.crashes.quarantine import (
+    MAX_QUARANTINE_SECONDS,
+    MAX_QUARANTINED_REQUESTS,
+)
 
 __all__ = ["BATCH_MARK", "decode_batch", "encode_batch", "is_batch"]
 
@@ -49,7 +52,7 @@
             raise ValueError(f"a fingerprint of {len(fingerprint)} characters")
     if len(told.endpoint) > LONGEST_ENDPOINT:
         raise ValueError(f"an identity of {len(told.endpoint)} characters")
-    if not 0.0 <= told.age <= MEMORY_SECONDS + LONGEST_HOLD_SECONDS:
+    if not 0.0 <= told.age <= MEMORY_SECONDS + MAX_QUARANTINE_SECONDS:
         raise ValueError(f"an age of {told.age} s")
     if told.kind is ToldKind.ENDED and not told.endpoint:
         raise ValueError("an ending without an endpoint")
@@ -59,9 +62,9 @@
 
 def check_held(told):
     """Raise ValueError for a hold that no node of this project begins."""
-    if not 0.0 < told.left <= LONGEST_HOLD_SECONDS:
+    if not 0.0 < told.left <= MAX_QUARANTINE_SECONDS:
         raise ValueError(f"a hold of {told.left} s")
-    if not 0 < told.times <= MOST_HELD:
+    if not 0 < told.times <= MAX_QUARANTINED_REQUESTS:
         raise ValueError(f"a request that was held back {told.times} times")
 
 
--- a/packages/hingesill-node/hingesill_node/crashes/holdstore.py
+++ b/packages/hingesill-node/hingesill_node/crashes/quarantinestore.py
@@ -4,14 +4,14 @@
 
 import eventlet
 
-from hingesill_core.crashes.guard import FROM_STORE
-from hingesill_core.crashes.quarantine import LONGEST_HOLD_SECONDS, QuarantinedRequest
-from hingesill_core.discovery.records import HeldRequest
+from hingesill_core.crashes.guard import SOURCE_STORE
+from hingesill_core.crashes.quarantine import MAX_QUARANTINE_SECONDS, QuarantinedRequest
+from hingesill_core.discovery.records import QuarantineRecord
 from hingesill_core.store import StoreFailure
 from hingesill_node.clocks import read_day_time
 from hingesill_node.telemetry.events import Event, log_event
 
-__all__ = ["HoldStore"]
+__all__ = ["QuarantineStore"]
 
 # How often it is looked at whether there is something to write; this costs no call.
 REVIEW_SECONDS = 0.25
@@ -26,7 +26,7 @@
 LEAST_SECONDS = 5.0
 
 
-class HoldStore:
+class QuarantineStore:
     """Writes holds of this node into the store, and takes those of others from there.
 
     Parameters
@@ -102,10 +102,10 @@
 
     def _write(self, fingerprint, request, now):
         day = self.day_clock() - now
-        record = HeldRequest(
+        record = QuarantineRecord(
             fingerprint, day + request.since, day + request.until, request.times
         )
-        note_kept(fingerprint, self.source.hold(record, request.until - now))
+        note_kept(fingerprint, self.source.save_quarantine(record, request.until - now))
 
     def _remove_cleared(self, now):
         """Let go in the store what was answered since it was held back."""
@@ -117,7 +117,7 @@
             is_tried = now < self._remove_from.get(fingerprint, now)
             if not is_tried and self.guard.decisions.is_cleared(fingerprint):
                 self._remove_from[fingerprint] = now + RETRY_SECONDS
-                note_kept(fingerprint, self.source.let_go(fingerprint))
+                note_kept(fingerprint, self.source.delete_quarantine(fingerprint))
 
     def take(self, held):
         """Hold back what the store lists.
@@ -125,16 +125,16 @@
         Parameters
         ----------
         held : dict
-            HeldRequest by fingerprint. What is missing is not let go: its lease may
-            have run out with the store, and each hold ends by itself.
+            QuarantineRecord by fingerprint. What is missing is not let go: its lease
+            may have run out with the store, and each hold ends by itself.
         """
         now = self.guard.clock()
         day = self.day_clock() - now
         for fingerprint, record in held.items():
-            until = min(record.until - day, now + LONGEST_HOLD_SECONDS)
+            until = min(record.until - day, now + MAX_QUARANTINE_SECONDS)
             if until > now:
                 request = QuarantinedRequest(record.since - day, until, record.times)
-                self.guard.decisions.adopt(fingerprint, request, FROM_STORE)
+                self.guard.decisions.adopt(fingerprint, request, SOURCE_STORE)
 
 
 def note_kept(fingerprint, answer):
--- a/packages/hingesill-node/hingesill_node/crashes/requestguard.py
+++ b/packages/hingesill-node/hingesill_node/crashes/requestguard.py
@@ -2,7 +2,7 @@
 
 import random
 
-from hingesill_core.crashes.guard import CrashGuard, HoldBegun
+from hingesill_core.crashes.guard import CrashGuard, QuarantineStarted
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.routing.messages import Refusal
 from hingesill_node.clocks import read_boot_time
@@ -46,7 +46,7 @@
         if not self.decisions.quarantine:
             return None
         now = self.clock()
-        held = self.decisions.find_hold(request.fingerprints, now)
+        held = self.decisions.find_quarantine(request.fingerprints, now)
         if held is None:
             return None
         outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
@@ -91,7 +91,7 @@
 
 def log_change(change):
     """Write a line for a hold that begins or ends."""
-    if not isinstance(change, HoldBegun):
+    if not isinstance(change, QuarantineStarted):
         log_event(Event.HOLD_ENDED, fingerprint=change.fingerprint, cause=change.reason)
         return
     request = change.request
--- a/packages/hingesill-node/hingesill_node/crashes/tests/test_spreading.py
+++ b/packages/hingesill-node/hingesill_node/crashes/tests/test_spreading.py
@@ -54,7 +54,7 @@
                 eventlet.sleep(0.02)
 
     def is_held(self, guard):
-        return guard.decisions.find_hold(BAD, guard.clock()) is not None
+        return guard.decisions.find_quarantine(BAD, guard.clock()) is not None
 
 
 class SpreadingTests(FleetCase):
--- a/packages/hingesill-node/hingesill_node/discovery/control.py
+++ b/packages/hingesill-node/hingesill_node/discovery/control.py
@@ -14,7 +14,7 @@
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_node.blackboard import Configuration
 from hingesill_node.clocks import read_boot_time
-from hingesill_node.crashes.holdstore import HoldStore
+from hingesill_node.crashes.quarantinestore import QuarantineStore
 from hingesill_node.crashes.spreading import Spreader
 from hingesill_node.datagramport import DatagramPort
 from hingesill_node.datapath.server import listen, start_server
@@ -140,7 +140,7 @@
     def _start_guard(self, guard):
         """Keep in the store which requests are held back."""
         follower = self.follower
-        self.holds = HoldStore(
+        self.holds = QuarantineStore(
             follower.source,
             follower.directory,
             guard,
--- a/packages/hingesill-node/hingesill_node/discovery/source.py
+++ b/packages/hingesill-node/hingesill_node/discovery/source.py
@@ -54,14 +54,14 @@
     def renew(self, lease):
         """Prolong the lease; return Held, LeaseLost or StoreFailure."""
 
-    def hold(self, record, seconds):
-        """Keep a HeldRequest for so long; return None or StoreFailure.
+    def save_quarantine(self, record, seconds):
+        """Keep a QuarantineRecord for so long; return None or StoreFailure.
 
         One that another node has written stays as it is.
         """
 
-    def let_go(self, fingerprint):
-        """Remove a HeldRequest; return None or StoreFailure."""
+    def delete_quarantine(self, fingerprint):
+        """Remove a QuarantineRecord; return None or StoreFailure."""
 
     def save(self, profile):
         """Keep a Profile in place of the one before; return None or StoreFailure."""
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_frames.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_frames.py
@@ -7,7 +7,7 @@
 from msgspec.json import encode as encode_json
 
 from hingesill_core.discovery.position import Position
-from hingesill_core.discovery.records import Changes, HeldRequest, NodeRecord
+from hingesill_core.discovery.records import Changes, NodeRecord, QuarantineRecord
 from hingesill_core.routing.profile import LevelProfile, Profile, ServiceProfile
 from hingesill_node.discovery.codec import (
     decode_changes,
@@ -28,7 +28,7 @@
     nodes={"n1": NodeRecord("n1", "10.0.0.1:80", "a", 1.0)},
     profile=PROFILE,
     evacuated={"a": 6},
-    held={"f1": HeldRequest("f1", 5.0, 605.0, 1)},
+    held={"f1": QuarantineRecord("f1", 5.0, 605.0, 1)},
 )
 SNAPSHOT = build_snapshot(5)
 CONTENTS = (
