--- a/packages/hingesill-core/hingesill_core/crashes/gossip.py
+++ b/packages/hingesill-core/hingesill_core/crashes/gossip.py
@@ -4,16 +4,16 @@
 
 from msgspec import Struct
 
-__all__ = ["Gossip", "MOST_TOLD", "PEERS_A_ROUND", "ROUND_SECONDS"]
+__all__ = ["Gossip", "MAX_GOSSIP_ITEMS", "GOSSIP_FAN_OUT", "GOSSIP_INTERVAL_SECONDS"]
 
 # Interval of gossip rounds, in seconds.
-ROUND_SECONDS = 0.1
+GOSSIP_INTERVAL_SECONDS = 0.1
 # Fan-out: nodes to which news is sent in a round.
-PEERS_A_ROUND = 2
+GOSSIP_FAN_OUT = 2
 # Rounds beyond the logarithm of the fleet, for nodes that random choice left out.
 MORE_ROUNDS = 3
 # Most pieces of news in a datagram, so that it fits into 1,400 bytes.
-MOST_TOLD = 10
+MAX_GOSSIP_ITEMS = 10
 # Most pieces of news that wait to be passed on.
 MOST_WAITING = 256
 
@@ -36,7 +36,7 @@
         Pieces of news in a datagram.
     """
 
-    def __init__(self, rng, most_told=MOST_TOLD):
+    def __init__(self, rng, most_told=MAX_GOSSIP_ITEMS):
         self._rng = rng
         self._most_told = most_told
         self._waiting = {}
@@ -63,7 +63,7 @@
             del self._waiting[lowest]
         self._waiting[news] = Rumour(rank, count_rounds(nodes))
 
-    def note_known(self, news):
+    def record_duplicate(self, news):
         """Pass a piece of news on once less: a node that told of it knew it already."""
         rumour = self._waiting.get(news)
         if rumour is None:
@@ -72,7 +72,7 @@
         if rumour.rounds <= 0:
             del self._waiting[news]
 
-    def take_round(self, peers):
+    def start_round(self, peers):
         """Return the peers to tell now, and the news for them.
 
         Parameters
@@ -87,7 +87,7 @@
             rumour.rounds -= 1
             if rumour.rounds <= 0:
                 del self._waiting[piece]
-        count = min(PEERS_A_ROUND, len(peers))
+        count = min(GOSSIP_FAN_OUT, len(peers))
         return self._rng.sample(peers, count), news
 
 
--- a/packages/hingesill-core/hingesill_core/crashes/guard.py
+++ b/packages/hingesill-core/hingesill_core/crashes/guard.py
@@ -9,7 +9,7 @@
 )
 from hingesill_core.crashes.gossip import Gossip
 from hingesill_core.crashes.history import CrashHistory, EndpointCrash
-from hingesill_core.crashes.messages import Told, ToldKind
+from hingesill_core.crashes.messages import GossipItem, GossipKind
 from hingesill_core.crashes.quarantine import Quarantine, QuarantinedRequest
 
 __all__ = ["CrashGuard", "SOURCE_STORE", "QuarantineStarted", "QuarantineEnded"]
@@ -134,12 +134,12 @@
         if known:
             self._take_answer(known, now)
 
-    def hear(self, told, now):
+    def apply_item(self, told, now):
         """Take what another node told."""
         at = now - told.age
-        if told.kind is ToldKind.ENDED:
+        if told.kind is GossipKind.ENDED:
             self._take_ending(told.fingerprints, EndpointCrash(told.endpoint, at), now)
-        elif told.kind is ToldKind.ANSWERED:
+        elif told.kind is GossipKind.ANSWERED:
             self._take_answer(told.fingerprints, at)
         else:
             request = QuarantinedRequest(at, now + told.left, told.times)
@@ -166,36 +166,36 @@
         self.quarantine.adopt(fingerprint, request)
         self._begin_hold(fingerprint, request, source)
 
-    def list_told(self, now):
+    def list_items(self, now):
         """Return all that is known, for a node that has just started."""
         held = self.quarantine.list_long(now)
         told = [build_held(name, request, now) for name, request in held.items()]
         told += [
-            Told(ToldKind.ENDED, (name,), now - ending.at, ending.endpoint)
+            GossipItem(GossipKind.ENDED, (name,), now - ending.at, ending.endpoint)
             for name, ending in self.history.list_crashes()
             if name not in held
         ]
         return told
 
-    def take_round(self, peers, now):
+    def start_round(self, peers, now):
         """Return whom to tell now, and the Told for them.
 
         Notes
         -----
         News wait as keys; their ages are those of the moment at which they are sent.
         """
-        chosen, keys = self.gossip.take_round(peers)
+        chosen, keys = self.gossip.start_round(peers)
         told = (self._build_told(key, now) for key in keys)
         return chosen, [piece for piece in told if piece is not None]
 
     def _build_told(self, key, now):
         kind, fingerprints, endpoint, at = key
-        if kind is ToldKind.HELD:
+        if kind is GossipKind.HELD:
             held = self.find_quarantine(fingerprints, now)
             if held is None or not held.times:
                 return None
             return build_held(fingerprints[0], held, now)
-        return Told(kind, fingerprints, now - at, endpoint)
+        return GossipItem(kind, fingerprints, now - at, endpoint)
 
     def _take_ending(self, fingerprints, ending, now):
         news = [
@@ -204,7 +204,7 @@
         if not news:
             return
         counts = [len(self.history.get_crashes(name)) for name in fingerprints]
-        key = (ToldKind.ENDED, fingerprints, ending.endpoint, ending.at)
+        key = (GossipKind.ENDED, fingerprints, ending.endpoint, ending.at)
         self.gossip.add(key, self.nodes, rank=max(counts))
         narrower = 0
         for fingerprint, count in zip(fingerprints, counts):
@@ -237,7 +237,7 @@
 
     def _begin_hold(self, fingerprint, request, source):
         if source != SOURCE_STORE and request.times:
-            key = (ToldKind.HELD, (fingerprint,), "", request.since)
+            key = (GossipKind.HELD, (fingerprint,), "", request.since)
             self.gossip.add(key, self.nodes, rank=HELD_RANK)
         endings = self.history.get_crashes(fingerprint)
         self.observe(QuarantineStarted(fingerprint, request, endings, source))
@@ -246,7 +246,7 @@
         news = [name for name in fingerprints if self.history.note_answer(name, at)]
         released = [name for name in fingerprints if self._release(name, at)]
         if news or released:
-            self.gossip.add((ToldKind.ANSWERED, fingerprints, "", at), self.nodes)
+            self.gossip.add((GossipKind.ANSWERED, fingerprints, "", at), self.nodes)
 
     def _release(self, fingerprint, at):
         """Let a request go that was answered at a time; return whether it was held."""
@@ -268,8 +268,8 @@
 
 def build_held(fingerprint, request, now):
     """Return the Told of a request that is held back for long."""
-    return Told(
-        ToldKind.HELD,
+    return GossipItem(
+        GossipKind.HELD,
         (fingerprint,),
         now - request.since,
         left=request.until - now,
--- a/packages/hingesill-core/hingesill_core/crashes/messages.py
+++ b/packages/hingesill-core/hingesill_core/crashes/messages.py
@@ -4,10 +4,10 @@
 
 from msgspec import Struct
 
-__all__ = ["Batch", "Told", "ToldKind"]
+__all__ = ["GossipMessage", "GossipItem", "GossipKind"]
 
 
-class ToldKind(IntEnum):
+class GossipKind(IntEnum):
     """What is told of a request."""
 
     # An endpoint ended while it had the request.
@@ -18,12 +18,12 @@
     HELD = 2
 
 
-class Told(Struct, frozen=True, array_like=True):
+class GossipItem(Struct, frozen=True, array_like=True):
     """One piece of news.
 
     Parameters
     ----------
-    kind : ToldKind
+    kind : GossipKind
         What happened.
     fingerprints : tuple of str
         Of the request, the narrowest first; just the one that is held back.
@@ -37,7 +37,7 @@
         How often it has been held back; 0 for the other kinds.
     """
 
-    kind: ToldKind
+    kind: GossipKind
     fingerprints: tuple[str, ...]
     age: float
     endpoint: str = ""
@@ -45,7 +45,7 @@
     times: int = 0
 
 
-class Batch(Struct, frozen=True, array_like=True):
+class GossipMessage(Struct, frozen=True, array_like=True):
     """What one datagram carries.
 
     Parameters
@@ -56,5 +56,5 @@
         The sender has just started and wants to be told everything.
     """
 
-    told: tuple[Told, ...] = ()
+    told: tuple[GossipItem, ...] = ()
     asks: bool = False
--- a/packages/hingesill-core/hingesill_core/crashes/tests/crashsimulation.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/crashsimulation.py
@@ -4,7 +4,7 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from hingesill_core.crashes.gossip import ROUND_SECONDS
+from hingesill_core.crashes.gossip import GOSSIP_INTERVAL_SECONDS
 from hingesill_core.crashes.guard import CrashGuard, QuarantineStarted
 
 __all__ = ["CrashSimulation"]
@@ -105,8 +105,8 @@
         """Start a node anew; it asks another one what is known."""
         guard = self.guards[number] = self._build_guard(number)
         other = self.rng.choice([g for g in self.guards if g is not guard])
-        for told in other.list_told(self.now):
-            guard.hear(told, self.now)
+        for told in other.list_items(self.now):
+            guard.apply_item(told, self.now)
 
     def cut(self, half):
         """Cut the nodes before a number from all others; 0 ends it."""
@@ -202,13 +202,13 @@
         guard.nodes = len(self.guards)
         if guard.gossip and number not in self._in_round:
             self._in_round.add(number)
-            pause = ROUND_SECONDS * self.rng.uniform(0.8, 1.2)
+            pause = GOSSIP_INTERVAL_SECONDS * self.rng.uniform(0.8, 1.2)
             self.at(self.now + pause, self._play_round, number)
 
     def _play_round(self, number):
         self._in_round.discard(number)
         others = [n for n in range(len(self.guards)) if n != number]
-        chosen, told = self.guards[number].take_round(others, self.now)
+        chosen, told = self.guards[number].start_round(others, self.now)
         for other in chosen if told else ():
             self.datagrams += 1
             is_cut = self.sides.get(other) != self.sides.get(number)
@@ -218,7 +218,7 @@
 
     def _hear(self, number, told):
         for piece in told:
-            self.guards[number].hear(piece, self.now)
+            self.guards[number].apply_item(piece, self.now)
         self._begin_rounds(number)
 
     def count_later(self, fingerprint, grace=3.0):
--- a/packages/hingesill-core/hingesill_core/crashes/tests/test_gossip.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/test_gossip.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from hingesill_core.crashes.gossip import MOST_TOLD, MOST_WAITING, Gossip
+from hingesill_core.crashes.gossip import MAX_GOSSIP_ITEMS, MOST_WAITING, Gossip
 
 
 def spread(nodes, loss, seed):
@@ -18,7 +18,7 @@
         told = []
         for gossip in fleet:
             if gossip:
-                peers, _ = gossip.take_round(range(nodes))
+                peers, _ = gossip.start_round(range(nodes))
                 datagrams += len(peers)
                 told.extend(peer for peer in peers if rng.random() >= loss)
         for peer in set(told) - known:
@@ -46,12 +46,12 @@
         for number in range(2 * MOST_WAITING):
             gossip.add(f"single {number}", 13, rank=1)
         gossip.add("third", 13, rank=3)
-        _, news = gossip.take_round(["a", "b", "c"])
+        _, news = gossip.start_round(["a", "b", "c"])
         self.assertEqual(news[0], "third")
-        self.assertEqual(len(news), MOST_TOLD)
+        self.assertEqual(len(news), MAX_GOSSIP_ITEMS)
         self.assertLessEqual(len(gossip), MOST_WAITING)
 
     def test_a_node_alone_tells_nobody(self):
         gossip = Gossip(random.Random(1))
         gossip.add("news", 1)
-        self.assertEqual(gossip.take_round([])[0], [])
+        self.assertEqual(gossip.start_round([])[0], [])
--- a/packages/hingesill-core/hingesill_core/crashes/tests/test_guard.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/test_guard.py
@@ -4,7 +4,7 @@
 import unittest
 
 from hingesill_core.crashes.guard import SOURCE_STORE, CrashGuard, QuarantineStarted
-from hingesill_core.crashes.messages import Told, ToldKind
+from hingesill_core.crashes.messages import GossipItem, GossipKind
 from hingesill_core.crashes.quarantine import (
     QUARANTINE_SECONDS,
     SHORT_QUARANTINE_SECONDS,
@@ -92,12 +92,12 @@
         self.assertEqual(self.changes[-1].reason, "answered")
 
     def test_so_does_one_between_its_endings_that_is_told_late(self):
-        told = Told(ToldKind.ANSWERED, (BAD,), age=4.0)
-        self.guard.hear(told, 6.0)
+        told = GossipItem(GossipKind.ANSWERED, (BAD,), age=4.0)
+        self.guard.apply_item(told, 6.0)
         self.assertEqual(self.get_seconds(6.0), 0.0)
 
     def test_one_from_before_them_does_not(self):
-        self.guard.hear(Told(ToldKind.ANSWERED, (BAD,), age=5.5), 6.0)
+        self.guard.apply_item(GossipItem(GossipKind.ANSWERED, (BAD,), age=5.5), 6.0)
         self.assertGreater(self.get_seconds(6.0), SHORT_QUARANTINE_SECONDS)
 
     def test_the_hold_ends_by_itself_and_one_ending_renews_it(self):
@@ -155,8 +155,8 @@
     """What one node tells, another one takes."""
 
     def tell(self, other, now):
-        for told in self.guard.list_told(now):
-            other.hear(told, now)
+        for told in self.guard.list_items(now):
+            other.apply_item(told, now)
 
     def test_endings_of_several_nodes_are_added_up(self):
         other = CrashGuard(random.Random(2))
--- a/packages/hingesill-core/hingesill_core/ratelimits/fleet.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/fleet.py
@@ -7,17 +7,17 @@
 from hingesill_core.ratelimits.messages import (
     GrantReply,
     GrantRequest,
-    LimitNews,
     LimitQuery,
-    ToldLimit,
+    LimitRecord,
+    LimitUpdate,
 )
 from hingesill_core.ratelimits.reportedlimits import ReportedLimit
 from hingesill_core.ratelimits.service import GONE, ServiceLimits
 
-__all__ = ["FleetLimits", "MOST_TOLD"]
+__all__ = ["FleetLimits", "MAX_LIMITS_PER_DATAGRAM"]
 
 # Most reports in a datagram, so that it fits into 1,400 bytes.
-MOST_TOLD = 16
+MAX_LIMITS_PER_DATAGRAM = 16
 # Grant requests a second that a coordinator accepts; with more, nodes pause longer.
 ASKS_A_SECOND = 400.0
 # Window in which nodes that requested grants are counted, in seconds.
@@ -28,9 +28,9 @@
 # just started as well, and datagrams may be lost.
 QUERIED_NODES = 2
 QUERY_ROUNDS = 3
-# Most limits in the reply to a query, in datagrams of `MOST_TOLD`. Others are learnt
-# from the endpoints' own answers.
-MOST_ANSWERED = 4 * MOST_TOLD
+# Most limits in the reply to a query, in datagrams of `MAX_LIMITS_PER_DATAGRAM`. Others
+# are learnt from the endpoints' own answers.
+MOST_ANSWERED = 4 * MAX_LIMITS_PER_DATAGRAM
 
 
 class FleetLimits:
@@ -66,7 +66,7 @@
         self.services = {}
         self.own = None
         self.nodes = ()
-        self.gossip = Gossip(rng, MOST_TOLD)
+        self.gossip = Gossip(rng, MAX_LIMITS_PER_DATAGRAM)
         self._asked = {}
         self._queries_left = QUERY_ROUNDS
 
@@ -128,11 +128,11 @@
         """Ask a coordinator, and tell it of limits that it may not know."""
         now = limits.grant_client.pace.asked_at
         words = limits.book.list_limited()
-        chosen = self.rng.sample(words, min(MOST_TOLD, len(words)))
-        told = tuple(build_told(limits, word, now) for word in chosen)
-        avoid = tuple(limits.list_avoided(now)[:MOST_TOLD])
+        chosen = self.rng.sample(words, min(MAX_LIMITS_PER_DATAGRAM, len(words)))
+        records = tuple(build_told(limits, word, now) for word in chosen)
+        excluded = tuple(limits.list_avoided(now)[:MAX_LIMITS_PER_DATAGRAM])
         request = GrantRequest(
-            ask.number, limits.name, ask.wanted, ask.horizon, told, avoid
+            ask.number, limits.name, ask.wanted, ask.horizon, records, excluded
         )
         self.send(ask.node, request)
 
@@ -161,12 +161,12 @@
             self.send(node, LimitQuery())
 
     def _pass_on(self, others, now):
-        chosen, keys = self.gossip.take_round(others)
-        told = tuple(self._build_news(keys, now))
-        if not told:
+        chosen, keys = self.gossip.start_round(others)
+        records = tuple(self._build_news(keys, now))
+        if not records:
             return
         for node in chosen:
-            self.send(node, LimitNews(told))
+            self.send(node, LimitUpdate(records))
 
     def _build_news(self, keys, now):
         """Yield what is known now of what changed."""
@@ -181,22 +181,22 @@
 
         Parameters
         ----------
-        message : LimitNews, LimitQuery, GrantRequest or GrantReply
+        message : LimitUpdate, LimitQuery, GrantRequest or GrantReply
             As it was decoded.
         sender : tuple
             IP number and port.
         now : float
             The time.
         """
-        for told in message.told:
-            self._hear(told, now)
+        for record in message.records:
+            self._hear(record, now)
         if isinstance(message, LimitQuery):
             self._answer(sender, now)
         elif isinstance(message, GrantRequest):
             if self.knows(message.service):
                 self.send(sender, self._grant(message, sender, now))
         elif isinstance(message, GrantReply):
-            granted = Granted(message.runs, message.again_in, message.wait)
+            granted = Granted(message.runs, message.retry_after, message.wait)
             limits = self.services.get(message.service)
             if limits is not None:
                 limits.grant_client.take_reply(
@@ -210,23 +210,26 @@
             for limits in self.services.values()
             for word in limits.book.list_limited()
         ]
-        told = self.rng.sample(known, min(MOST_ANSWERED, len(known)))
-        for begin in range(0, len(told), MOST_TOLD):
-            self.send(node, LimitNews(tuple(told[begin : begin + MOST_TOLD])))
-
-    def _hear(self, told, now):
-        if not self.knows(told.service):
+        records = self.rng.sample(known, min(MOST_ANSWERED, len(known)))
+        for begin in range(0, len(records), MAX_LIMITS_PER_DATAGRAM):
+            self.send(
+                node,
+                LimitUpdate(tuple(records[begin : begin + MAX_LIMITS_PER_DATAGRAM])),
+            )
+
+    def _hear(self, record, now):
+        if not self.knows(record.service):
             return
-        latest = now - told.age
-        earliest = latest - told.span - TRANSIT_SECONDS
+        latest = now - record.age
+        earliest = latest - record.span - TRANSIT_SECONDS
         word = ReportedLimit(
-            told.endpoint, told.born, told.per_second, earliest, latest
+            record.endpoint, record.born, record.per_second, earliest, latest
         )
-        limits = self.get(told.service)
+        limits = self.get(record.service)
         # A node that received the limit does not query the endpoint itself.
-        limits.is_in_health = limits.is_in_health or told.is_in_health
+        limits.is_in_health = limits.is_in_health or record.is_in_health
         if not limits.take(word, "node") and limits.has_same(word):
-            self.gossip.note_known((told.service, told.endpoint, told.born))
+            self.gossip.record_duplicate((record.service, record.endpoint, record.born))
 
     def _grant(self, request, sender, now):
         """Return the GrantReply to a node that asks."""
@@ -234,12 +237,14 @@
         pause = self._count_pause(sender, now)
         granted = Granted((), pause, pause)
         if limits.own in limits.coordinators:
-            granted = limits.grant(request.wanted, request.horizon, now, request.avoid)
+            granted = limits.grant(
+                request.wanted, request.horizon, now, request.excluded
+            )
         return GrantReply(
             request.number,
             request.service,
             granted.runs,
-            granted.again_in,
+            granted.retry_after,
             granted.wait,
             pause,
             tuple(self._list_better(request, limits, now)),
@@ -247,9 +252,9 @@
 
     def _list_better(self, request, limits, now):
         """Yield what this node knows better than one that asks."""
-        for told in request.told:
-            word = limits.book.get(told.endpoint)
-            if word is not None and word.per_second != told.per_second:
+        for record in request.records:
+            word = limits.book.get(record.endpoint)
+            if word is not None and word.per_second != record.per_second:
                 yield build_told(limits, word, now)
 
     def _count_pause(self, sender, now):
@@ -262,8 +267,8 @@
 
 
 def build_told(limits, word, now):
-    """Return the ToldLimit of a word that the ServiceLimits hold."""
-    return ToldLimit(
+    """Return the LimitRecord of a word that the ServiceLimits hold."""
+    return LimitRecord(
         limits.name,
         word.endpoint,
         word.born,
--- a/packages/hingesill-core/hingesill_core/ratelimits/grantclient.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/grantclient.py
@@ -142,8 +142,8 @@
             return
         horizon = self.pace.choose_horizon(patience, now)
         if coordinator == self.limits.own:
-            avoid = self.limits.list_avoided(now)
-            self._take_granted(self.limits.grant(wanted, horizon, now, avoid), now)
+            excluded = self.limits.list_avoided(now)
+            self._take_granted(self.limits.grant(wanted, horizon, now, excluded), now)
             return
         self._asked = coordinator
         number = self.pace.begin(now)
@@ -170,9 +170,9 @@
 
     def _take_share(self, now):
         """Take this node's part of what the endpoints allow, by chance."""
-        avoid = self.limits.list_avoided(now)
+        excluded = self.limits.list_avoided(now)
         rates = self.limits.list_rates()
-        rates = {name: rate for name, rate in rates.items() if name not in avoid}
+        rates = {name: rate for name, rate in rates.items() if name not in excluded}
         total = sum(rates.values())
         if self.share.take(total, self.nodes, now, self.rng):
             endpoint = self.rng.choices(list(rates), list(rates.values()))[0]
@@ -203,12 +203,12 @@
     def _take_granted(self, granted, now):
         for run in granted.runs:
             self.held.add(run, now)
-        if granted.again_in > 0 or granted.wait > 0:
-            self._deny(granted.again_in, granted.wait, now)
+        if granted.retry_after > 0 or granted.wait > 0:
+            self._deny(granted.retry_after, granted.wait, now)
 
-    def _deny(self, again_in, wait, now):
+    def _deny(self, retry_after, wait, now):
         """Refuse what has no grant until some may come with the next ask."""
-        self._denied_until = now + max(again_in, self.pace.get_pause(now))
+        self._denied_until = now + max(retry_after, self.pace.get_pause(now))
         self._wait_until = now + max(SHORTEST_WAIT, wait)
 
     def list_surplus(self, untils, now):
--- a/packages/hingesill-core/hingesill_core/ratelimits/ledger.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/ledger.py
@@ -45,14 +45,14 @@
     ----------
     runs : tuple of GrantRun
         What endpoints take.
-    again_in : float
+    retry_after : float
         Seconds until more may be granted; 0 if all was that was wanted.
     wait : float
         Seconds after which a request that came now may be granted.
     """
 
     runs: tuple[GrantRun, ...] = ()
-    again_in: float = 0.0
+    retry_after: float = 0.0
     wait: float = 0.0
 
 
@@ -77,7 +77,7 @@
     unmet: float = 0.0
     unmet_at: float = 0.0
 
-    def grant(self, rates, wanted, horizon, now, avoid=()):
+    def grant(self, rates, wanted, horizon, now, excluded=()):
         """Grant requests at the endpoints that are free first.
 
         Parameters
@@ -100,7 +100,7 @@
         """
         rates = {name: rate for name, rate in rates.items() if rate > LEAST_RATE}
         self._adopt(rates, now)
-        usable = [name for name in rates if name not in avoid]
+        usable = [name for name in rates if name not in excluded]
         until = now + min(horizon, HORIZON_SECONDS)
         runs = self._give_out(usable, wanted, until, now)
         missing = wanted - sum(run.count for run in runs)
@@ -144,9 +144,11 @@
         self.unmet_at = now
 
     def _estimate(self, usable, horizon, now):
-        """Return again_in and wait of a Granted that lacks some."""
+        """Return retry_after and wait of a Granted that lacks some."""
         if not usable:
             return UNMET_SECONDS, UNMET_SECONDS
         first = max(0.0, min(self.free_at[name] for name in usable) - now)
-        again_in = max(0.0, first - horizon)
-        return again_in, first + self.unmet / sum(self.rates[name] for name in usable)
+        retry_after = max(0.0, first - horizon)
+        return retry_after, first + self.unmet / sum(
+            self.rates[name] for name in usable
+        )
--- a/packages/hingesill-core/hingesill_core/ratelimits/messages.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/messages.py
@@ -4,10 +4,10 @@
 
 from hingesill_core.ratelimits.ledger import GrantRun
 
-__all__ = ["GrantReply", "GrantRequest", "LimitNews", "LimitQuery", "ToldLimit"]
+__all__ = ["GrantReply", "GrantRequest", "LimitUpdate", "LimitQuery", "LimitRecord"]
 
 
-class ToldLimit(Struct, frozen=True, array_like=True):
+class LimitRecord(Struct, frozen=True, array_like=True):
     """An endpoint's newest word, as one node knows it.
 
     Parameters
@@ -35,16 +35,16 @@
     is_in_health: bool = False
 
 
-class LimitNews(Struct, frozen=True, array_like=True, tag=1):
+class LimitUpdate(Struct, frozen=True, array_like=True, tag=1):
     """Limits that began, changed or ended.
 
     Parameters
     ----------
-    told : tuple of ToldLimit
+    told : tuple of LimitRecord
         The news.
     """
 
-    told: tuple[ToldLimit, ...]
+    records: tuple[LimitRecord, ...]
 
 
 class GrantRequest(Struct, frozen=True, array_like=True, tag=2):
@@ -60,7 +60,7 @@
         Requests that wait, and that will come until the next ask.
     horizon : float
         Seconds within which grants are of use.
-    told : tuple of ToldLimit
+    told : tuple of LimitRecord
         Limits as the sender knows them.
     avoid : tuple of str
         Endpoints in need that the sender does not use now.
@@ -70,8 +70,8 @@
     service: str
     wanted: int
     horizon: float = 0.0
-    told: tuple[ToldLimit, ...] = ()
-    avoid: tuple[str, ...] = ()
+    records: tuple[LimitRecord, ...] = ()
+    excluded: tuple[str, ...] = ()
 
 
 class GrantReply(Struct, frozen=True, array_like=True, tag=3):
@@ -85,21 +85,21 @@
         Its name.
     runs : tuple of GrantRun
         What endpoints take.
-    again_in, wait : float
+    retry_after, wait : float
         See `hingesill_core.ratelimits.ledger.Granted`.
     pause : float
         Seconds between two requests of a node; more in large fleets.
-    told : tuple of ToldLimit
+    told : tuple of LimitRecord
         Where the coordinator knows better than the node that asked.
     """
 
     number: int
     service: str
     runs: tuple[GrantRun, ...]
-    again_in: float
+    retry_after: float
     wait: float
     pause: float
-    told: tuple[ToldLimit, ...] = ()
+    records: tuple[LimitRecord, ...] = ()
 
 
 class LimitQuery(Struct, frozen=True, array_like=True, tag=4):
@@ -107,8 +107,8 @@
 
     Parameters
     ----------
-    told : tuple of ToldLimit
+    told : tuple of LimitRecord
         None: it knows of no limit yet.
     """
 
-    told: tuple[ToldLimit, ...] = ()
+    records: tuple[LimitRecord, ...] = ()
--- a/packages/hingesill-core/hingesill_core/ratelimits/service.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/service.py
@@ -181,7 +181,7 @@
         if grant is not None:
             self.grant_client.held.use(grant)
 
-    def grant(self, wanted, horizon, now, avoid):
+    def grant(self, wanted, horizon, now, excluded):
         """Return the Granted for a node that wants grants, as a coordinator does.
 
         Notes
@@ -189,7 +189,7 @@
         What this node itself sees of an endpoint decides nothing for others: it may
         reach none of them, and others all.
         """
-        return self.ledger.grant(self.list_rates(), wanted, horizon, now, avoid)
+        return self.ledger.grant(self.list_rates(), wanted, horizon, now, excluded)
 
     def list_avoided(self, now):
         """Return the limited endpoints that this node does not use now."""
--- a/packages/hingesill-node/hingesill_node/control/node.py
+++ b/packages/hingesill-node/hingesill_node/control/node.py
@@ -8,7 +8,7 @@
 from hingesill_node.clocks import read_boot_time
 from hingesill_node.control.publisher import Publisher
 from hingesill_node.control.thread import ControlThread
-from hingesill_node.crashes.spreading import Spreader
+from hingesill_node.crashes.crashgossip import CrashGossip
 from hingesill_node.datagramport import DatagramPort
 from hingesill_node.datapath.announcements import Announcements
 from hingesill_node.datapath.prober import Prober
@@ -71,7 +71,7 @@
         port = DatagramPort(self.counters)
         port.start(self.address)
         self.announcements.start(port, runners.note_suspicion)
-        Spreader(runners.guard, self._list_peers, self.counters).start(port)
+        CrashGossip(runners.guard, self._list_peers, self.counters).start(port)
         LimitExchange(
             runners.limits, port, self._list_peers, runners, self.counters
         ).start(split_address(self.address))
--- a/packages/hingesill-node/hingesill_node/crashes/spreading.py
+++ b/packages/hingesill-node/hingesill_node/crashes/crashgossip.py
@@ -4,12 +4,16 @@
 
 import eventlet
 
-from hingesill_core.crashes.gossip import MOST_TOLD, PEERS_A_ROUND, ROUND_SECONDS
-from hingesill_core.crashes.messages import Batch
-from hingesill_node.crashes.datagrams import BATCH_MARK, decode_batch, encode_batch
+from hingesill_core.crashes.gossip import (
+    GOSSIP_FAN_OUT,
+    GOSSIP_INTERVAL_SECONDS,
+    MAX_GOSSIP_ITEMS,
+)
+from hingesill_core.crashes.messages import GossipMessage
+from hingesill_node.crashes.datagrams import MESSAGE_PREFIX, decode_batch, encode_batch
 from hingesill_node.telemetry.events import Event, log_event
 
-__all__ = ["Spreader"]
+__all__ = ["CrashGossip"]
 
 # A node that has just started asks others what they know, until one answers.
 ASK_SECONDS = 0.5
@@ -25,7 +29,7 @@
 COMPLAINT_SECONDS = 5.0
 
 
-class Spreader:
+class CrashGossip:
     """Tells other nodes and hears from them, by UDP on the node's control address.
 
     Parameters
@@ -53,7 +57,7 @@
 
     def start(self, port):
         """Begin with the DatagramPort of the node."""
-        port.register(BATCH_MARK, self.take)
+        port.register(MESSAGE_PREFIX, self.take)
         self._send_datagram = port.send
         eventlet.spawn(self._tell)
         eventlet.spawn(self._ask)
@@ -70,7 +74,7 @@
         now = self.guard.clock()
         self._note_sender(sender, now)
         for told in batch.told:
-            self.guard.decisions.hear(told, now)
+            self.guard.decisions.apply_item(told, now)
         if batch.asks:
             self._answer(sender, now)
 
@@ -96,13 +100,15 @@
 
     def _answer(self, sender, now):
         """Tell one that asks all that is known, in one datagram at least."""
-        told = self.guard.decisions.list_told(now)
-        for begin in range(0, max(1, len(told)), MOST_TOLD)[:MOST_ANSWERS]:
-            self._send(sender, Batch(tuple(told[begin : begin + MOST_TOLD])))
+        told = self.guard.decisions.list_items(now)
+        for begin in range(0, max(1, len(told)), MAX_GOSSIP_ITEMS)[:MOST_ANSWERS]:
+            self._send(
+                sender, GossipMessage(tuple(told[begin : begin + MAX_GOSSIP_ITEMS]))
+            )
 
     def _tell(self):
         while True:
-            eventlet.sleep(ROUND_SECONDS * random.uniform(0.8, 1.2))
+            eventlet.sleep(GOSSIP_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
             decisions = self.guard.decisions
             if decisions.is_idle:
                 continue
@@ -114,10 +120,10 @@
     def _tell_round(self, now):
         peers = self.find_peers(now)
         self.guard.decisions.nodes = len(peers) + 1
-        chosen, told = self.guard.decisions.take_round(peers, now)
+        chosen, told = self.guard.decisions.start_round(peers, now)
         if not told:
             return
-        batch = Batch(tuple(told))
+        batch = GossipMessage(tuple(told))
         for peer in chosen:
             self._send(peer, batch)
 
@@ -128,8 +134,8 @@
             if self._senders:
                 return
             peers = self.find_peers(self.guard.clock())
-            for peer in random.sample(peers, min(PEERS_A_ROUND, len(peers))):
-                self._send(peer, Batch(asks=True))
+            for peer in random.sample(peers, min(GOSSIP_FAN_OUT, len(peers))):
+                self._send(peer, GossipMessage(asks=True))
 
     def _send(self, peer, batch):
         self.counters.add("gossip", "told")
--- a/packages/hingesill-node/hingesill_node/crashes/datagrams.py
+++ b/packages/hingesill-node/hingesill_node/crashes/datagrams.py
@@ -5,20 +5,20 @@
 
 from hingesill_core.crashes.fingerprint import Breadth
 from hingesill_core.crashes.history import MEMORY_SECONDS
-from hingesill_core.crashes.messages import Batch, ToldKind
+from hingesill_core.crashes.messages import GossipKind, GossipMessage
 from hingesill_core.crashes.quarantine import (
     MAX_QUARANTINE_SECONDS,
     MAX_QUARANTINED_REQUESTS,
 )
 
-__all__ = ["BATCH_MARK", "decode_batch", "encode_batch", "is_batch"]
+__all__ = ["MESSAGE_PREFIX", "decode_batch", "encode_batch", "is_batch"]
 
 LONGEST_FINGERPRINT = 64
 LONGEST_ENDPOINT = 128
 
-BATCHES = Decoder(Batch)
+BATCHES = Decoder(GossipMessage)
 # With what each one begins; other datagrams of nodes begin with something else.
-BATCH_MARK = encode(Batch())[:1]
+MESSAGE_PREFIX = encode(GossipMessage())[:1]
 
 
 def encode_batch(batch):
@@ -54,9 +54,9 @@
         raise ValueError(f"an identity of {len(told.endpoint)} characters")
     if not 0.0 <= told.age <= MEMORY_SECONDS + MAX_QUARANTINE_SECONDS:
         raise ValueError(f"an age of {told.age} s")
-    if told.kind is ToldKind.ENDED and not told.endpoint:
+    if told.kind is GossipKind.ENDED and not told.endpoint:
         raise ValueError("an ending without an endpoint")
-    if told.kind is ToldKind.HELD:
+    if told.kind is GossipKind.HELD:
         check_held(told)
 
 
@@ -70,4 +70,4 @@
 
 def is_batch(data):
     """Tell whether a datagram is meant to be a Batch, by its first byte."""
-    return data[:1] == BATCH_MARK
+    return data[:1] == MESSAGE_PREFIX
--- a/packages/hingesill-node/hingesill_node/crashes/tests/test_spreading.py
+++ b/packages/hingesill-node/hingesill_node/crashes/tests/test_crashgossip.py
@@ -8,10 +8,10 @@
 from msgspec.msgpack import encode
 
 from hingesill_api.generated import hingesill_pb2 as pb
-from hingesill_core.crashes.messages import Batch, Told, ToldKind
+from hingesill_core.crashes.messages import GossipItem, GossipKind, GossipMessage
+from hingesill_node.crashes.crashgossip import CrashGossip
 from hingesill_node.crashes.datagrams import decode_batch, is_batch
 from hingesill_node.crashes.requestguard import RequestGuard
-from hingesill_node.crashes.spreading import Spreader
 from hingesill_node.datagramport import DatagramPort
 from hingesill_node.datapath.announcements import Announcements
 from hingesill_node.telemetry.counters import Counters
@@ -41,7 +41,7 @@
     def start(self, guard, address, peers):
         port = DatagramPort(self.counters)
         port.start(address)
-        Spreader(guard, lambda: peers, self.counters).start(port)
+        CrashGossip(guard, lambda: peers, self.counters).start(port)
 
     def end(self, number, endpoint):
         """Have an endpoint end at a node."""
@@ -74,7 +74,12 @@
 
     def test_bytes_that_are_no_batch_change_nothing(self):
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        for data in (b"", b"\x92", b"\x91" * 3000, encode(Batch())[:1] + b"x" * 99):
+        for data in (
+            b"",
+            b"\x92",
+            b"\x91" * 3000,
+            encode(GossipMessage())[:1] + b"x" * 99,
+        ):
             sock.sendto(data, self.addresses[0])
         self.end(1, "i1")
         history = self.guards[0].decisions.history
@@ -90,26 +95,28 @@
         board = SimpleNamespace(peers=peers)
         announcements = Announcements(board, "team", None, self.counters)
         announcements.start(port, lambda *told: None)
-        Spreader(guard, lambda: peers, self.counters).start(port)
+        CrashGossip(guard, lambda: peers, self.counters).start(port)
 
     def test_the_two_kinds_of_datagrams_are_told_apart(self):
         suspicion = pb.Suspicion(team="team", endpoint="i1", ratio=2.0)
         self.assertFalse(is_batch(suspicion.SerializeToString()))
-        self.assertTrue(is_batch(encode(Batch((Told(ToldKind.ENDED, BAD, 0.0),)))))
+        self.assertTrue(
+            is_batch(encode(GossipMessage((GossipItem(GossipKind.ENDED, BAD, 0.0),))))
+        )
 
 
 class CheckTests(unittest.TestCase):
     def test_news_that_no_node_tells(self):
         for told in (
-            Told(ToldKind.ENDED, (), 0.0, "i1"),
-            Told(ToldKind.ENDED, ("a",) * 4, 0.0, "i1"),
-            Told(ToldKind.ENDED, ("a" * 99,), 0.0, "i1"),
-            Told(ToldKind.ENDED, ("a",), 0.0, ""),
-            Told(ToldKind.ENDED, ("a",), -1.0, "i1"),
-            Told(ToldKind.ENDED, ("a",), float("nan"), "i1"),
-            Told(ToldKind.ENDED, ("a",), 1e9, "i1"),
-            Told(ToldKind.HELD, ("a",), 0.0, left=1e9, times=1),
-            Told(ToldKind.HELD, ("a",), 0.0, left=5.0, times=0),
+            GossipItem(GossipKind.ENDED, (), 0.0, "i1"),
+            GossipItem(GossipKind.ENDED, ("a",) * 4, 0.0, "i1"),
+            GossipItem(GossipKind.ENDED, ("a" * 99,), 0.0, "i1"),
+            GossipItem(GossipKind.ENDED, ("a",), 0.0, ""),
+            GossipItem(GossipKind.ENDED, ("a",), -1.0, "i1"),
+            GossipItem(GossipKind.ENDED, ("a",), float("nan"), "i1"),
+            GossipItem(GossipKind.ENDED, ("a",), 1e9, "i1"),
+            GossipItem(GossipKind.HELD, ("a",), 0.0, left=1e9, times=1),
+            GossipItem(GossipKind.HELD, ("a",), 0.0, left=5.0, times=0),
         ):
             with self.subTest(told=told), self.assertRaises(ValueError):
-                decode_batch(encode(Batch((told,))))
+                decode_batch(encode(GossipMessage((told,))))
--- a/packages/hingesill-node/hingesill_node/discovery/control.py
+++ b/packages/hingesill-node/hingesill_node/discovery/control.py
@@ -14,8 +14,8 @@
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_node.blackboard import Configuration
 from hingesill_node.clocks import read_boot_time
+from hingesill_node.crashes.crashgossip import CrashGossip
 from hingesill_node.crashes.quarantinestore import QuarantineStore
-from hingesill_node.crashes.spreading import Spreader
 from hingesill_node.datagramport import DatagramPort
 from hingesill_node.datapath.server import listen, start_server
 from hingesill_node.discovery.follower import Follower
@@ -157,7 +157,7 @@
             port.start(self.address)
         except OSError as error:
             return f"control_address {self.address}: {error.strerror}"
-        Spreader(runners.guard, self.list_peers, self.counters).start(port)
+        CrashGossip(runners.guard, self.list_peers, self.counters).start(port)
         LimitExchange(
             runners.limits, port, self.list_peers, runners, self.counters
         ).start(split_address(self.address))
--- a/packages/hingesill-node/hingesill_node/ratelimits/datagrams.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/datagrams.py
@@ -5,14 +5,14 @@
 from msgspec import DecodeError
 from msgspec.msgpack import Decoder, encode
 
-from hingesill_core.ratelimits.fleet import MOST_TOLD
+from hingesill_core.ratelimits.fleet import MAX_LIMITS_PER_DATAGRAM
 from hingesill_core.ratelimits.grants import MOST_WANTED
 from hingesill_core.ratelimits.ledger import MOST_RUNS
 from hingesill_core.ratelimits.messages import (
     GrantReply,
     GrantRequest,
-    LimitNews,
     LimitQuery,
+    LimitUpdate,
 )
 
 __all__ = ["MARK", "decode_message", "encode_message"]
@@ -20,7 +20,7 @@
 LONGEST_NAME = 256
 # Greatest age of a report that is passed on, and longest wait in a reply, in seconds.
 LONGEST_SECONDS = 3600.0
-MESSAGES = Decoder(LimitNews | GrantRequest | GrantReply | LimitQuery)
+MESSAGES = Decoder(LimitUpdate | GrantRequest | GrantReply | LimitQuery)
 # First bytes of each datagram, different for each kind.
 MARK = b"L"
 
@@ -44,10 +44,10 @@
         message = MESSAGES.decode(data[1:])
     except (DecodeError, RecursionError) as error:
         raise ValueError(f"not on limits: {error}") from error
-    if len(message.told) > MOST_TOLD:
-        raise ValueError(f"{len(message.told)} limits in one datagram")
-    for told in message.told:
-        check_told(told)
+    if len(message.records) > MAX_LIMITS_PER_DATAGRAM:
+        raise ValueError(f"{len(message.records)} limits in one datagram")
+    for record in message.records:
+        check_told(record)
     if isinstance(message, GrantRequest):
         check_request(message)
     if isinstance(message, GrantReply):
@@ -55,23 +55,23 @@
     return message
 
 
-def check_told(told):
+def check_told(record):
     """Raise ValueError for a limit that no node of this project tells."""
-    check_name(told.service)
-    check_name(told.endpoint)
-    check_seconds(told.age)
-    check_seconds(told.span)
-    if told.per_second is not None and not 0.0 <= told.per_second < inf:
-        raise ValueError(f"a limit of {told.per_second}")
+    check_name(record.service)
+    check_name(record.endpoint)
+    check_seconds(record.age)
+    check_seconds(record.span)
+    if record.per_second is not None and not 0.0 <= record.per_second < inf:
+        raise ValueError(f"a limit of {record.per_second}")
 
 
 def check_request(request):
     """Raise ValueError for an ask that no node of this project makes."""
     check_name(request.service)
     check_seconds(request.horizon)
-    if len(request.avoid) > MOST_TOLD:
-        raise ValueError(f"{len(request.avoid)} endpoints are avoided")
-    for endpoint in request.avoid:
+    if len(request.excluded) > MAX_LIMITS_PER_DATAGRAM:
+        raise ValueError(f"{len(request.excluded)} endpoints are avoided")
+    for endpoint in request.excluded:
         check_name(endpoint)
     if not 0 < request.wanted <= MOST_WANTED:
         raise ValueError(f"{request.wanted} grants are wanted")
@@ -89,7 +89,7 @@
         check_seconds(run.count * run.interval)
         if not 0 < run.count <= MOST_WANTED:
             raise ValueError(f"{run.count} grants at one endpoint")
-    check_seconds(reply.again_in)
+    check_seconds(reply.retry_after)
     check_seconds(reply.wait)
     check_seconds(reply.pause)
 
--- a/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
@@ -11,7 +11,7 @@
 
 # Interval of gossip rounds, in seconds. Each goes to two nodes, so that limits cost a
 # node at most four datagrams a second besides its grant requests.
-ROUND_SECONDS = 0.5
+GOSSIP_INTERVAL_SECONDS = 0.5
 # Interval of log lines on invalid datagrams, in seconds.
 COMPLAINT_SECONDS = 5.0
 
@@ -73,7 +73,7 @@
             return
         self.counters.add("limits", "heard")
         now = self.runners.clock()
-        if now - self._noted_at > ROUND_SECONDS:
+        if now - self._noted_at > GOSSIP_INTERVAL_SECONDS:
             self._note_nodes()
         self.limits.take(message, sender, now)
 
@@ -93,7 +93,7 @@
 
     def _work(self):
         while True:
-            eventlet.sleep(ROUND_SECONDS * random.uniform(0.8, 1.2))
+            eventlet.sleep(GOSSIP_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
             if self.limits.is_starting or self.limits.count_limited():
                 self._note_nodes()
             now = self.runners.clock()
--- a/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
@@ -13,21 +13,21 @@
 from hingesill_core.ratelimits.messages import (
     GrantReply,
     GrantRequest,
-    LimitNews,
     LimitQuery,
-    ToldLimit,
+    LimitRecord,
+    LimitUpdate,
 )
 from hingesill_core.ratelimits.reportedlimits import NamedLimit
-from hingesill_node.crashes.datagrams import BATCH_MARK
+from hingesill_node.crashes.datagrams import MESSAGE_PREFIX
 from hingesill_node.datagramport import DatagramPort
 from hingesill_node.ratelimits.datagrams import MARK, decode_message, encode_message
 from hingesill_node.ratelimits.exchange import LimitExchange
 from hingesill_node.telemetry.counters import Counters
 
-TOLD = ToldLimit("arena", "i-0123456789", 1_764_720_000_000, 2.5, 0.1, 0.2, True)
+TOLD = LimitRecord("arena", "i-0123456789", 1_764_720_000_000, 2.5, 0.1, 0.2, True)
 RUN = GrantRun("i-0123456789", 0.123456, 0.4, 3)
 MESSAGES = (
-    LimitNews((TOLD,)),
+    LimitUpdate((TOLD,)),
     GrantRequest(3, "arena", 2, 0.5, (TOLD,), ("i1",)),
     GrantReply(3, "arena", (RUN,), 0.1, 0.2, 0.6, (TOLD,)),
     LimitQuery(),
@@ -42,29 +42,29 @@
 
     def test_kinds_of_datagrams_are_told_apart(self):
         suspicion = pb.Suspicion(team="team", endpoint="i1", ratio=2.0)
-        marks = {MARK, BATCH_MARK, suspicion.SerializeToString()[:1]}
+        marks = {MARK, MESSAGE_PREFIX, suspicion.SerializeToString()[:1]}
         self.assertEqual(len(marks), 3)
 
     def test_the_largest_fit_into_a_datagram(self):
         reply = GrantReply(9, "arena", (RUN,) * MOST_RUNS, 0.1, 0.2, 0.6)
         self.assertLess(len(encode_message(reply)), LARGEST_BYTES)
-        self.assertLess(len(encode_message(LimitNews((TOLD,) * 16))), LARGEST_BYTES)
-        avoid = (TOLD.endpoint,) * 16
-        request = GrantRequest(9, "arena", 1024, 0.7, (TOLD,) * 16, avoid)
+        self.assertLess(len(encode_message(LimitUpdate((TOLD,) * 16))), LARGEST_BYTES)
+        excluded = (TOLD.endpoint,) * 16
+        request = GrantRequest(9, "arena", 1024, 0.7, (TOLD,) * 16, excluded)
         self.assertLess(len(encode_message(request)), LARGEST_BYTES)
 
     def test_figures_beyond_all_bounds(self):
         for message in (
-            LimitNews((ToldLimit("arena", "", 1, 2.5, 0.1, 0.2),)),
-            LimitNews((ToldLimit("arena", "i1", 1, -1.0, 0.1, 0.2),)),
-            LimitNews((ToldLimit("arena", "i1", 1, float("inf"), 0.1, 0.2),)),
-            LimitNews((ToldLimit("arena", "i1", 1, float("nan"), 0.1, 0.2),)),
-            LimitNews((ToldLimit("arena", "i1", 1, 1.0, -0.1, 0.2),)),
-            LimitNews((TOLD,) * 17),
+            LimitUpdate((LimitRecord("arena", "", 1, 2.5, 0.1, 0.2),)),
+            LimitUpdate((LimitRecord("arena", "i1", 1, -1.0, 0.1, 0.2),)),
+            LimitUpdate((LimitRecord("arena", "i1", 1, float("inf"), 0.1, 0.2),)),
+            LimitUpdate((LimitRecord("arena", "i1", 1, float("nan"), 0.1, 0.2),)),
+            LimitUpdate((LimitRecord("arena", "i1", 1, 1.0, -0.1, 0.2),)),
+            LimitUpdate((TOLD,) * 17),
             GrantRequest(1, "arena", 0),
             GrantRequest(1, "arena", MOST_WANTED + 1),
             GrantRequest(1, "", 1),
-            GrantRequest(1, "arena", 1, avoid=("i1",) * 17),
+            GrantRequest(1, "arena", 1, excluded=("i1",) * 17),
             GrantReply(1, "arena", (RUN,) * (MOST_RUNS + 1), 0.0, 0.0, 0.0),
             GrantReply(1, "arena", (GrantRun("i1", 0.0, 0.0, -1),), 0.0, 0.0, 0.0),
             GrantReply(1, "arena", (GrantRun("i1", 0.0, 0.0, 900),) * 2, 0.0, 0.0, 0.0),
@@ -142,8 +142,8 @@
 
     def test_services_that_are_not_declared_are_passed_over(self):
         now = Runners(None).clock()
-        told = ToldLimit("other", "i1", 1, 2.5, 0.0, 0.0)
-        self.nodes[0].take(LimitNews((told,)), ("127.0.0.1", 1), now)
+        record = LimitRecord("other", "i1", 1, 2.5, 0.0, 0.0)
+        self.nodes[0].take(LimitUpdate((record,)), ("127.0.0.1", 1), now)
         self.nodes[0].take(GrantRequest(1, "other", 1), ("127.0.0.1", 1), now)
         self.assertEqual(list(self.nodes[0].services), [])
 
