--- a/packages/hingesill-core/hingesill_core/membership/signs.py
+++ b/packages/hingesill-core/hingesill_core/membership/drainnotices.py
@@ -2,13 +2,13 @@
 
 from msgspec import Struct
 
-__all__ = ["DrainSign", "SignBook"]
+__all__ = ["DrainNotice", "DrainNoticeTable"]
 
 MAX_SIGNS = 10_000
 LONGEST_HOLD = 3600.0
 
 
-class DrainSign(Struct, frozen=True):
+class DrainNotice(Struct, frozen=True):
     """One endpoint is leaving.
 
     Parameters
@@ -27,7 +27,7 @@
     until: float
 
 
-class SignBook:
+class DrainNoticeTable:
     """The newest sign of each endpoint.
 
     Notes
@@ -48,7 +48,7 @@
         if held is None and len(self._signs) >= MAX_SIGNS:
             self.forget_ended(now)
         until = min(sign.until, now + LONGEST_HOLD)
-        self._signs[sign.endpoint] = DrainSign(sign.endpoint, sign.sequence, until)
+        self._signs[sign.endpoint] = DrainNotice(sign.endpoint, sign.sequence, until)
         self.generation += 1
         return True
 
--- a/packages/hingesill-node/hingesill_node/control/announcer.py
+++ b/packages/hingesill-node/hingesill_node/control/announcer.py
@@ -8,7 +8,7 @@
 from hingesill_api.generated import hingesill_pb2 as pb
 from hingesill_api.generated.hingesill_pb2_grpc import PeersStub
 from hingesill_core.membership.spreading import list_relays
-from hingesill_node.control.messages import read_signs, write_signs
+from hingesill_node.control.messages import decode_drain_notices, encode_drain_notices
 
 __all__ = ["Announcer"]
 
@@ -63,7 +63,7 @@
         return [vm for vm in select(usable) if vm.name != self.state.own.name]
 
     async def _tell_all(self, vms, signs):
-        request = pb.TellRequest(signs=write_signs(signs, self.state.clock()))
+        request = pb.TellRequest(signs=encode_drain_notices(signs, self.state.clock()))
         answers = await asyncio.gather(*(self._tell(vm, request) for vm in vms))
         return sum(answers)
 
@@ -74,5 +74,7 @@
         except grpc.aio.AioRpcError:
             self.state.membership.note_silent(vm.name, self.state.clock())
             return False
-        self.state.take_signs(read_signs(reply.signs, self.state.clock()))
+        self.state.apply_drain_notices(
+            decode_drain_notices(reply.signs, self.state.clock())
+        )
         return True
--- a/packages/hingesill-node/hingesill_node/control/messages.py
+++ b/packages/hingesill-node/hingesill_node/control/messages.py
@@ -1,12 +1,12 @@
 """Turning the schema's messages into the core's data and back."""
 
 from hingesill_api.generated import hingesill_pb2 as pb
-from hingesill_core.membership.signs import DrainSign
+from hingesill_core.membership.drainnotices import DrainNotice
 
-__all__ = ["build_node_status", "read_signs", "write_signs"]
+__all__ = ["build_node_status", "decode_drain_notices", "encode_drain_notices"]
 
 
-def write_signs(signs, now):
+def encode_drain_notices(signs, now):
     """Return the schema's messages for signs."""
     return [
         pb.Sign(
@@ -18,10 +18,10 @@
     ]
 
 
-def read_signs(messages, now):
+def decode_drain_notices(messages, now):
     """Yield the signs that messages hold."""
     for message in messages:
-        yield DrainSign(
+        yield DrainNotice(
             message.endpoint, message.sequence, now + message.remaining_ms / 1000
         )
 
--- a/packages/hingesill-node/hingesill_node/control/operators.py
+++ b/packages/hingesill-node/hingesill_node/control/operators.py
@@ -7,7 +7,7 @@
 
 from hingesill_api.generated import hingesill_pb2 as pb
 from hingesill_api.generated.hingesill_pb2_grpc import OperatorsServicer, PeersStub
-from hingesill_core.membership.signs import DrainSign
+from hingesill_core.membership.drainnotices import DrainNotice
 from hingesill_node.control.messages import build_node_status
 
 __all__ = ["Operators"]
@@ -139,10 +139,10 @@
             reason = f"{request.service} has no endpoint {request.endpoint}"
             return pb.DrainReply(reason=reason)
         hold = 0.0 if request.cancel else OPERATOR_DRAIN_SECONDS
-        sign = DrainSign(
+        sign = DrainNotice(
             request.endpoint, int(time.time() * 1000), self.state.clock() + hold
         )
-        self.state.take_signs([sign])
+        self.state.apply_drain_notices([sign])
         return pb.DrainReply(nodes_told=await self.announcer.tell([sign]))
 
     def _has_endpoint(self, service, endpoint):
--- a/packages/hingesill-node/hingesill_node/control/peers.py
+++ b/packages/hingesill-node/hingesill_node/control/peers.py
@@ -7,8 +7,8 @@
 from hingesill_core.configuration.state import encode_difference
 from hingesill_node.control.messages import (
     build_node_status,
-    read_signs,
-    write_signs,
+    decode_drain_notices,
+    encode_drain_notices,
 )
 from hingesill_node.control.spreader import HEARTBEAT_SECONDS
 
@@ -70,7 +70,7 @@
             update.difference = self._encode_since(held, names)
         if signs_sent != state.signs.generation:
             signs = state.signs.list_all()
-            update.signs.extend(write_signs(signs, state.clock()))
+            update.signs.extend(encode_drain_notices(signs, state.clock()))
         return update
 
     def _encode_since(self, held, names):
@@ -86,8 +86,10 @@
     async def Tell(self, request, context):
         """Take drain signs from any node; subscribers get them at once."""
         now = self.state.clock()
-        self.state.take_signs(read_signs(request.signs, now))
-        return pb.TellReply(signs=write_signs(self.state.signs.list_all(), now))
+        self.state.apply_drain_notices(decode_drain_notices(request.signs, now))
+        return pb.TellReply(
+            signs=encode_drain_notices(self.state.signs.list_all(), now)
+        )
 
     async def Inspect(self, request, context):
         """Return this node's status."""
--- a/packages/hingesill-node/hingesill_node/control/spreader.py
+++ b/packages/hingesill-node/hingesill_node/control/spreader.py
@@ -12,7 +12,7 @@
 from hingesill_core.membership.spreading import find_place, list_relays, rank_by_weight
 from hingesill_core.store import StoreFailure
 from hingesill_node.control.backoff import Backoff
-from hingesill_node.control.messages import read_signs
+from hingesill_node.control.messages import decode_drain_notices
 from hingesill_node.control.state import NEVER_CONFIRMED, copy_replica
 from hingesill_node.telemetry.events import Event, log_event
 
@@ -232,7 +232,7 @@
         if update.revision <= state.replica.revision:
             if update.confirmed_age_ms < NEVER_CONFIRMED:
                 state.confirm(now - update.confirmed_age_ms / 1000)
-        state.take_signs(read_signs(update.signs, now))
+        state.apply_drain_notices(decode_drain_notices(update.signs, now))
         return True
 
     def _agrees(self, update, source):
--- a/packages/hingesill-node/hingesill_node/control/state.py
+++ b/packages/hingesill-node/hingesill_node/control/state.py
@@ -6,7 +6,7 @@
 from msgspec import Struct, field
 
 from hingesill_core.configuration.state import Applied, Replica
-from hingesill_core.membership.signs import SignBook
+from hingesill_core.membership.drainnotices import DrainNoticeTable
 from hingesill_core.membership.vms import Membership
 from hingesill_node.clocks import read_boot_time
 from hingesill_node.telemetry.events import Event, log_event
@@ -50,7 +50,7 @@
     publish: object
     clock: object = read_boot_time
     replica: Replica = field(default_factory=Replica)
-    signs: SignBook = field(default_factory=SignBook)
+    signs: DrainNoticeTable = field(default_factory=DrainNoticeTable)
     confirmed_at: float | None = None
     parent: str = ""
     is_relay: bool = False
@@ -83,7 +83,7 @@
             self.wake()
         return applied
 
-    def take_signs(self, signs):
+    def apply_drain_notices(self, signs):
         """Take drain signs; wake everybody if one of them is news."""
         now = self.clock()
         news = [sign for sign in signs if self.signs.take(sign, now)]
--- a/packages/hingesill-node/hingesill_node/control/thread.py
+++ b/packages/hingesill-node/hingesill_node/control/thread.py
@@ -11,7 +11,7 @@
     add_PeersServicer_to_server,
 )
 from hingesill_core.configuration.changelog import ChangeLog
-from hingesill_core.membership.signs import DrainSign
+from hingesill_core.membership.drainnotices import DrainNotice
 from hingesill_core.membership.vms import Membership, Vm
 from hingesill_node.control.acceptance import Acceptance
 from hingesill_node.control.announcer import Announcer
@@ -104,8 +104,8 @@
         if self.state.signs.holds(endpoint, now, ENDPOINT_SIGN_SECONDS / 2):
             return
         sequence = int(time.time() * 1000)
-        sign = DrainSign(endpoint, sequence, now + ENDPOINT_SIGN_SECONDS)
-        self.state.take_signs([sign])
+        sign = DrainNotice(endpoint, sequence, now + ENDPOINT_SIGN_SECONDS)
+        self.state.apply_drain_notices([sign])
         self._loop.create_task(self.announcer.tell([sign]))
 
     def _run(self):
--- a/packages/hingesill-node/hingesill_node/control/vmlist.py
+++ b/packages/hingesill-node/hingesill_node/control/vmlist.py
@@ -9,7 +9,7 @@
 
 import urllib3
 
-from hingesill_core.membership.signs import DrainSign
+from hingesill_core.membership.drainnotices import DrainNotice
 from hingesill_core.membership.vms import Vm, VmState
 from hingesill_core.registry import Registry
 from hingesill_node.telemetry.events import Event, log_event
@@ -131,8 +131,8 @@
         now = state.clock()
         sequence = int(time.time() * 1000)
         signs = [
-            DrainSign(address, sequence, now + LEAVING_HOLDS)
+            DrainNotice(address, sequence, now + LEAVING_HOLDS)
             for address in leaving
             if not state.signs.holds(address, now, LEAVING_HOLDS / 2)
         ]
-        state.take_signs(signs)
+        state.apply_drain_notices(signs)
--- a/packages/hingesill-node/hingesill_node/datapath/announcements.py
+++ b/packages/hingesill-node/hingesill_node/datapath/announcements.py
@@ -25,17 +25,17 @@
         Its ``peers`` are the control addresses of other nodes.
     team : str
         Messages of another team are ignored.
-    tell_drain : callable
+    announce_drain : callable
         Spreads an endpoint's own sign that it is leaving.
     counters : Counters
         Gets ``suspicions``.
     """
 
-    def __init__(self, blackboard, team, tell_drain, counters):
+    def __init__(self, blackboard, team, announce_drain, counters):
         self.blackboard = blackboard
         self.counters = counters
         self.team = team
-        self.tell_drain = tell_drain
+        self.announce_drain = announce_drain
         self.is_heard = True
         self._told = {}
         self._port = None
@@ -67,7 +67,7 @@
             self.counters.add("suspicions", "heard")
             self._hear(message.endpoint, message.ratio)
 
-    def tell_suspicion(self, endpoint, ratio, now):
+    def announce_suspicion(self, endpoint, ratio, now):
         """Tell other nodes that an endpoint's answer is overdue.
 
         Notes
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -162,7 +162,7 @@
             send.endpoint, send.born, rest, result.leaving, now
         )
         if result.leaving:
-            self.announce.tell_drain(send.endpoint)
+            self.announce.announce_drain(send.endpoint)
             self._close_idle(send)
 
     def _close_idle(self, send):
@@ -199,7 +199,7 @@
         ratio = (now - send.started) / send.expected
         if ratio < self.dispatcher.view.get_suspicious_ratio():
             return
-        self.announce.tell_suspicion(send.endpoint, ratio, now)
+        self.announce.announce_suspicion(send.endpoint, ratio, now)
 
     def pump(self):
         """Wake the held requests that can go now."""
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_asking.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_asking.py
@@ -30,7 +30,7 @@
 class NoAnnouncements:
     is_heard = False
 
-    def tell_drain(self, endpoint):
+    def announce_drain(self, endpoint):
         pass
 
 
--- a/packages/hingesill-node/hingesill_node/discovery/control.py
+++ b/packages/hingesill-node/hingesill_node/discovery/control.py
@@ -47,10 +47,10 @@
 
     is_heard = False
 
-    def tell_drain(self, endpoint):
+    def announce_drain(self, endpoint):
         """Drop the word that an endpoint is leaving: its entry says so too."""
 
-    def tell_suspicion(self, endpoint, ratio, now):
+    def announce_suspicion(self, endpoint, ratio, now):
         """Drop the word that an answer is overdue."""
 
 
