--- a/packages/hingesill-core/hingesill_core/membership/spreading.py
+++ b/packages/hingesill-core/hingesill_core/membership/relaytree.py
@@ -9,13 +9,19 @@
 
 from msgspec import Struct
 
-__all__ = ["Place", "find_place", "list_relays", "rank_by_weight", "rank_nodes"]
+__all__ = [
+    "TreePosition",
+    "find_position",
+    "list_relays",
+    "rank_by_weight",
+    "rank_nodes",
+]
 
 RELAYS_PER_DATA_CENTRE = 2
 FAN_OUT = 8
 
 
-class Place(Struct, frozen=True):
+class TreePosition(Struct, frozen=True):
     """Where a node stands in the tree of its data centre.
 
     Parameters
@@ -56,7 +62,7 @@
     return sorted(rank_by_weight(local, data_centre), key=lambda vm: not vm.holds_all)
 
 
-def find_place(own, vms):
+def find_position(own, vms):
     """Return the place of a node.
 
     Parameters
@@ -81,10 +87,10 @@
     relays = [vm for vm in ranked[:RELAYS_PER_DATA_CENTRE] if vm.name != own.name]
     remote = list_remote_relays(own, vms)
     if rank < RELAYS_PER_DATA_CENTRE:
-        return Place(True, tuple(relays + remote), 0)
+        return TreePosition(True, tuple(relays + remote), 0)
     parent = ranked[find_parent_rank(rank, ranked)]
     others = [vm for vm in relays if vm.name != parent.name]
-    return Place(False, (parent, *others, *remote), compute_depth(rank))
+    return TreePosition(False, (parent, *others, *remote), compute_depth(rank))
 
 
 def find_parent_rank(rank, ranked):
--- a/packages/hingesill-core/hingesill_core/membership/tests/test_spreading.py
+++ b/packages/hingesill-core/hingesill_core/membership/tests/test_relaytree.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from hingesill_core.membership.spreading import (
+from hingesill_core.membership.relaytree import (
     FAN_OUT,
     RELAYS_PER_DATA_CENTRE,
-    find_place,
+    find_position,
     list_relays,
 )
 from hingesill_core.membership.vms import SILENT_AFTER, Membership, Vm, VmState
@@ -27,7 +27,7 @@
 class TreeTests(unittest.TestCase):
     def check_tree(self, vms):
         """Check that every way leads to a relay and nobody has too many children."""
-        places = {vm.name: find_place(vm, vms) for vm in vms}
+        places = {vm.name: find_position(vm, vms) for vm in vms}
         by_name = {vm.name: vm for vm in vms}
         children = {}
         for name, place in places.items():
@@ -59,14 +59,14 @@
 
     def test_a_node_that_the_list_lacks_has_a_place(self):
         vms = build(18)
-        place = find_place(Vm("new", "10.1.0.1:1", "dc-0"), vms)
+        place = find_position(Vm("new", "10.1.0.1:1", "dc-0"), vms)
         self.assertTrue(place.relay or place.parents)
 
     def test_loss_of_a_node_moves_few(self):
         vms = build(200)
-        before = {vm.name: find_place(vm, vms).relay for vm in vms}
+        before = {vm.name: find_position(vm, vms).relay for vm in vms}
         left = vms[1:]
-        moved = sum(find_place(vm, left).relay != before[vm.name] for vm in left)
+        moved = sum(find_position(vm, left).relay != before[vm.name] for vm in left)
         self.assertLessEqual(moved, 1)
 
 
@@ -74,26 +74,26 @@
     def setUp(self):
         self.vms = build(4)
         self.membership = Membership(self.vms[0])
-        self.membership.take_list(self.vms)
+        self.membership.replace_vms(self.vms)
 
     def list_names(self, now):
         return {vm.name for vm in self.membership.list_usable(now)}
 
     def test_silent_node_is_left_out_for_a_while(self):
-        self.membership.note_silent("n1", 100.0)
+        self.membership.mark_unreachable("n1", 100.0)
         self.assertNotIn("n1", self.list_names(100.0))
         self.assertIn("n1", self.list_names(100.0 + SILENT_AFTER))
 
     def test_heard_node_is_back(self):
-        self.membership.note_silent("n1", 100.0)
-        self.membership.note_heard("n1")
+        self.membership.mark_unreachable("n1", 100.0)
+        self.membership.mark_reachable("n1")
         self.assertIn("n1", self.list_names(100.0))
 
     def test_leaving_node_is_left_out(self):
         leaving = Vm("n1", "10.0.0.1:1", "dc-1", VmState.LEAVING)
-        self.membership.take_list([self.vms[0], leaving])
+        self.membership.replace_vms([self.vms[0], leaving])
         self.assertEqual(self.list_names(0.0), {"n0"})
 
     def test_own_node_always_belongs(self):
-        self.membership.take_list([])
+        self.membership.replace_vms([])
         self.assertEqual(self.list_names(0.0), {"n0"})
--- a/packages/hingesill-core/hingesill_core/membership/vms.py
+++ b/packages/hingesill-core/hingesill_core/membership/vms.py
@@ -56,17 +56,17 @@
         self._vms = {own.name: own}
         self._silent = {}
 
-    def take_list(self, vms):
+    def replace_vms(self, vms):
         """Put a newer list in force; this node itself always belongs to it."""
         self._vms = {vm.name: vm for vm in vms}
         self._vms.setdefault(self.own.name, self.own)
         self._silent = {n: t for n, t in self._silent.items() if n in self._vms}
 
-    def note_silent(self, name, now):
+    def mark_unreachable(self, name, now):
         """Note that a node did not answer."""
         self._silent[name] = now
 
-    def note_heard(self, name):
+    def mark_reachable(self, name):
         """Note that a node answered."""
         self._silent.pop(name, None)
 
--- a/packages/hingesill-core/hingesill_core/routing/slotknowledge.py
+++ b/packages/hingesill-core/hingesill_core/routing/slotknowledge.py
@@ -55,7 +55,7 @@
         """Return how many of an endpoint's slots are worth taking."""
         return self.curves.get_usable(slots, now)
 
-    def is_settled(self, now):
+    def is_stable(self, now):
         """Tell whether the fleet knows so much that single answers add little."""
         return self.curves.count_told(now) >= SETTLED_ANSWERS
 
@@ -65,7 +65,7 @@
             return True
         if self.curves.get_news_share(now) <= LEAST_NEWS:
             return False
-        if not self.is_settled(now):
+        if not self.is_stable(now):
             return True
         told = conclude(self.curves.list_told(now))
         return conclude(self.curves.list_levels(now)) != told
--- a/packages/hingesill-core/hingesill_core/routing/tests/loadplay.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/loadplay.py
@@ -125,8 +125,8 @@
         news = node.slots.take_news(self.now)
         if news is not None:
             relay.slots.add_news(news, self.now)
-        is_settled = node.slots.is_settled(self.now)
-        pause = REPORT_SECONDS if is_settled else FIRST_REPORT_SECONDS
+        is_stable = node.slots.is_stable(self.now)
+        pause = REPORT_SECONDS if is_stable else FIRST_REPORT_SECONDS
         self.after(pause, self._report, node, relay)
 
     def _review(self, relay):
--- a/packages/hingesill-node/hingesill_node/control/announcer.py
+++ b/packages/hingesill-node/hingesill_node/control/announcer.py
@@ -7,7 +7,7 @@
 
 from hingesill_api.generated import hingesill_pb2 as pb
 from hingesill_api.generated.hingesill_pb2_grpc import PeersStub
-from hingesill_core.membership.spreading import list_relays
+from hingesill_core.membership.relaytree import list_relays
 from hingesill_node.control.messages import decode_drain_notices, encode_drain_notices
 
 __all__ = ["Announcer"]
@@ -72,7 +72,7 @@
         try:
             reply = await stub.Tell(request, timeout=PEER_SECONDS)
         except grpc.aio.AioRpcError:
-            self.state.membership.note_silent(vm.name, self.state.clock())
+            self.state.membership.mark_unreachable(vm.name, self.state.clock())
             return False
         self.state.apply_drain_notices(
             decode_drain_notices(reply.signs, self.state.clock())
--- a/packages/hingesill-node/hingesill_node/control/node.py
+++ b/packages/hingesill-node/hingesill_node/control/node.py
@@ -81,15 +81,15 @@
     def _list_peers(self):
         return self.blackboard.peers
 
-    def is_settled(self):
+    def is_initialized(self):
         """See `node.Control`."""
         return self.thread.state.settled
 
-    def is_heard(self):
+    def is_connected(self):
         """See `node.Control`."""
         state = self.thread.state
         others = len(state.membership.list_all()) > 1
-        if state.store_answers or not others:
+        if state.is_store_available or not others:
             return True
         last = state.last_peer_at
         return last is not None and self.clock() - last < SILENT_SECONDS
--- a/packages/hingesill-node/hingesill_node/control/operators.py
+++ b/packages/hingesill-node/hingesill_node/control/operators.py
@@ -88,7 +88,7 @@
     async def GetOperation(self, request, context):
         """Say what became of an operation."""
         revision = self.state.replica.find_operation(request.operation_id)
-        if revision is None and self.state.store_answers:
+        if revision is None and self.state.is_store_available:
             return pb.ApplyReply(
                 outcome=pb.UNCHANGED,
                 revision=self.state.replica.revision,
--- a/packages/hingesill-node/hingesill_node/control/peers.py
+++ b/packages/hingesill-node/hingesill_node/control/peers.py
@@ -38,7 +38,7 @@
         if state.interests and not state.is_relay:
             reason = "this node holds only some services"
             await context.abort(grpc.StatusCode.FAILED_PRECONDITION, reason)
-        state.membership.note_heard(request.node)
+        state.membership.mark_reachable(request.node)
         held = request.revision
         names = frozenset(request.services)
         signs_sent = -1
--- a/packages/hingesill-node/hingesill_node/control/probeshares.py
+++ b/packages/hingesill-node/hingesill_node/control/probeshares.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from hingesill_core.membership.spreading import rank_by_weight
+from hingesill_core.membership.relaytree import rank_by_weight
 from hingesill_core.probing.share import SHARE_TTL, SHARES, Share
 from hingesill_core.store import Held, LeaseLost
 from hingesill_node.clocks import read_boot_time
@@ -54,7 +54,7 @@
 
     async def _try_shares(self):
         """Ask for each share that this node is a candidate for."""
-        if not self.state.store_answers:
+        if not self.state.is_store_available:
             return
         usable = self.state.membership.list_usable(self.state.clock())
         for number in range(SHARES):
--- a/packages/hingesill-node/hingesill_node/control/settling.py
+++ b/packages/hingesill-node/hingesill_node/control/settling.py
@@ -73,5 +73,5 @@
             status = await stub.Inspect(pb.StatusRequest(), timeout=ANSWER_SECONDS)
             return status.revision, vm
         except grpc.aio.AioRpcError:
-            self.state.membership.note_silent(vm.name, self.state.clock())
+            self.state.membership.mark_unreachable(vm.name, self.state.clock())
             return None
--- a/packages/hingesill-node/hingesill_node/control/spreader.py
+++ b/packages/hingesill-node/hingesill_node/control/spreader.py
@@ -9,7 +9,11 @@
 from hingesill_core.configuration.snapshots import Snapshot
 from hingesill_core.configuration.state import Applied, decode_difference
 from hingesill_core.configuration.tail import Tail
-from hingesill_core.membership.spreading import find_place, list_relays, rank_by_weight
+from hingesill_core.membership.relaytree import (
+    find_position,
+    list_relays,
+    rank_by_weight,
+)
 from hingesill_core.store import StoreFailure
 from hingesill_node.control.backoff import Backoff
 from hingesill_node.control.messages import decode_drain_notices
@@ -73,7 +77,7 @@
 
     def _find_place(self):
         usable = self.state.membership.list_usable(self.state.clock())
-        return find_place(self.state.own, usable)
+        return find_position(self.state.own, usable)
 
     async def _watch_store(self):
         """Follow the tail of the change log."""
@@ -144,7 +148,7 @@
         backoff = Backoff(0.2, 2.0)
         attempt = 0
         while True:
-            if self.state.is_relay and self.state.store_answers:
+            if self.state.is_relay and self.state.is_store_available:
                 self.state.parent = ""
                 await asyncio.sleep(REVIEW_SECONDS)
                 continue
@@ -183,7 +187,7 @@
             if update is not grpc.aio.EOF:
                 self._take_update(update, vm.name)
         except (grpc.aio.AioRpcError, TimeoutError):
-            self.state.membership.note_silent(vm.name, self.state.clock())
+            self.state.membership.mark_unreachable(vm.name, self.state.clock())
         finally:
             call.cancel()
 
@@ -193,19 +197,19 @@
         call = self._ask_for_changes(parent)
         heard = False
         try:
-            while not (state.is_relay and state.store_answers):
+            while not (state.is_relay and state.is_store_available):
                 update = await asyncio.wait_for(call.read(), SILENCE_SECONDS)
                 if update is grpc.aio.EOF:
                     break
                 if not heard:
                     log_event(Event.PARENT_FOUND, parent=parent.name)
                     state.parent = parent.name
-                    state.membership.note_heard(parent.name)
+                    state.membership.mark_reachable(parent.name)
                 heard = True
                 if not self._take_update(update, parent.name):
                     break
         except (grpc.aio.AioRpcError, TimeoutError) as error:
-            state.membership.note_silent(parent.name, state.clock())
+            state.membership.mark_unreachable(parent.name, state.clock())
             log_event(Event.PARENT_LOST, parent=parent.name, error=describe(error))
         finally:
             call.cancel()
--- a/packages/hingesill-node/hingesill_node/control/state.py
+++ b/packages/hingesill-node/hingesill_node/control/state.py
@@ -54,7 +54,7 @@
     confirmed_at: float | None = None
     parent: str = ""
     is_relay: bool = False
-    store_answers: bool = False
+    is_store_available: bool = False
     settled: bool = False
     last_peer_at: float | None = None
     _changed: object = None
--- a/packages/hingesill-node/hingesill_node/control/storecalls.py
+++ b/packages/hingesill-node/hingesill_node/control/storecalls.py
@@ -44,7 +44,7 @@
     Parameters
     ----------
     state : ControlState
-        Its ``store_answers`` is written.
+        Its ``is_store_available`` is written.
     """
 
     def __init__(self, state):
@@ -60,11 +60,11 @@
 
     def note(self, answers, detail=None):
         """Note whether the store answered; log a change of that."""
-        if answers and not self._state.store_answers:
+        if answers and not self._state.is_store_available:
             log_event(Event.STORE_BACK)
-        if not answers and self._state.store_answers:
+        if not answers and self._state.is_store_available:
             log_event(Event.STORE_LOST, detail=str(detail))
-        self._state.store_answers = answers
+        self._state.is_store_available = answers
 
     def close(self):
         """End the threads once their calls are over."""
--- a/packages/hingesill-node/hingesill_node/control/vmlist.py
+++ b/packages/hingesill-node/hingesill_node/control/vmlist.py
@@ -121,7 +121,7 @@
             self.available = False
             return
         self.available = True
-        self.state.membership.take_list(vms)
+        self.state.membership.replace_vms(vms)
         self._mark_leaving(leaving)
         self.state.publish()
 
--- a/packages/hingesill-node/hingesill_node/datapath/announcements.py
+++ b/packages/hingesill-node/hingesill_node/datapath/announcements.py
@@ -36,7 +36,7 @@
         self.counters = counters
         self.team = team
         self.announce_drain = announce_drain
-        self.is_heard = True
+        self.is_connected = True
         self._told = {}
         self._port = None
         self._hear = None
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -186,7 +186,7 @@
 
     def get_time_to_suspicion(self, send, now):
         """Return the seconds until an answer takes suspiciously long."""
-        if not self.announce.is_heard:
+        if not self.announce.is_connected:
             return float("inf")
         ratio = self.dispatcher.view.get_suspicious_ratio()
         left = send.started + ratio * send.expected - now
@@ -194,7 +194,7 @@
 
     def suspect(self, send, now):
         """Tell other nodes of an answer that takes far longer than typical."""
-        if not self.announce.is_heard:
+        if not self.announce.is_connected:
             return
         ratio = (now - send.started) / send.expected
         if ratio < self.dispatcher.view.get_suspicious_ratio():
--- a/packages/hingesill-node/hingesill_node/datapath/runnertable.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runnertable.py
@@ -145,7 +145,7 @@
         news = {
             name: runner.slots.take_news(now)
             for name, runner in self.runners.items()
-            if not (only_urgent and runner.slots.is_settled(now))
+            if not (only_urgent and runner.slots.is_stable(now))
         }
         news = {name: profile for name, profile in news.items() if profile is not None}
         return Profile(news) if news else None
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_asking.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_asking.py
@@ -28,7 +28,7 @@
 
 
 class NoAnnouncements:
-    is_heard = False
+    is_connected = False
 
     def announce_drain(self, endpoint):
         pass
--- a/packages/hingesill-node/hingesill_node/discovery/control.py
+++ b/packages/hingesill-node/hingesill_node/discovery/control.py
@@ -45,7 +45,7 @@
 class NoAnnouncements:
     """For nodes that tell each other nothing of endpoints."""
 
-    is_heard = False
+    is_connected = False
 
     def announce_drain(self, endpoint):
         """Drop the word that an endpoint is leaving: its entry says so too."""
@@ -96,7 +96,7 @@
             source,
             entry,
             self._lists,
-            lambda: self.follower.store_answers,
+            lambda: self.follower.is_store_available,
             lambda: self.follower.directory.position.era,
             self._get_entering_seconds,
             self.clock,
@@ -145,7 +145,7 @@
             follower.directory,
             guard,
             follower.is_watching_for_others,
-            lambda: follower.store_answers,
+            lambda: follower.is_store_available,
         )
         self.holds.take(follower.directory.held)
         eventlet.spawn(self.holds.run)
@@ -234,14 +234,14 @@
         # with each node that comes makes all services be configured anew.
         place = 0
         if nodes > self.settings.extra_sends:
-            place = find_place(directory.nodes, self.follower.choice.own.name)
+            place = find_node_index(directory.nodes, self.follower.choice.own.name)
         return FleetView(self.settings.data_centre, nodes, limit, place)
 
-    def is_settled(self):
+    def is_initialized(self):
         """See `node.Control`."""
-        return self.follower.is_settled()
+        return self.follower.is_initialized()
 
-    def is_heard(self):
+    def is_connected(self):
         """See `node.Control`."""
         return self.follower.get_silence() < SILENT_SECONDS
 
@@ -272,7 +272,7 @@
         """Green threads end with the process."""
 
 
-def find_place(nodes, name):
+def find_node_index(nodes, name):
     """Return how many nodes' names go before one; None if it is not among them."""
     return sum(other < name for other in nodes) if name in nodes else None
 
--- a/packages/hingesill-node/hingesill_node/discovery/follower.py
+++ b/packages/hingesill-node/hingesill_node/discovery/follower.py
@@ -101,7 +101,7 @@
         self.directory = self.held.directory
         self.feed = self.held.feed
         self.watch = StoreWatch(clock)
-        self.store_answers = True
+        self.is_store_available = True
         self.is_synced = False
         self.follows = ""
         self.heard_at = clock()
@@ -131,7 +131,7 @@
         """Serve no other node any more: a planned stop has begun."""
         self.feed.end("the node stops")
 
-    def is_settled(self):
+    def is_initialized(self):
         """Tell whether requests can be served by what is known."""
         directory = self.directory
         is_known = directory.declared is not None and bool(directory.endpoints)
@@ -265,7 +265,7 @@
             self._look_from = self.clock() + LOOK_SECONDS
             if self.follows:
                 log_event(Event.RELAY_LOST, relay=relay.name, detail=str(error))
-            elif not self.is_synced and not self.store_answers:
+            elif not self.is_synced and not self.is_store_available:
                 eventlet.sleep(OUTAGE_PAUSE * random.uniform(0.5, 1.5))
         finally:
             self.follows = ""
@@ -293,7 +293,7 @@
         self.feed.close("the node follows a relay")
         self.follows = relay.name
         self.choice.note_success(relay)
-        self.store_answers = True
+        self.is_store_available = True
         self.pauses.note_news()
         self.is_sure = True
         # One that is behind is no fault: it is asked again once it has caught up.
@@ -338,10 +338,10 @@
             self._pause()
             return False
         self.heard_at = self.clock()
-        if self._is_relay() or (self.store_answers and not self._relays_live):
+        if self._is_relay() or (self.is_store_available and not self._relays_live):
             return True
         self.choice.forget_failures()
-        self.pauses.let_relays_go_first(self.clock(), not self.store_answers)
+        self.pauses.let_relays_go_first(self.clock(), not self.is_store_available)
         return False
 
     def _watch(self):
@@ -373,16 +373,16 @@
         self.pauses.pause(self._is_relay(), nodes, self.clock())
 
     def _note_lost(self, failure):
-        if self.store_answers:
+        if self.is_store_available:
             log_event(Event.STORE_LOST, detail=failure.reason)
-        self.store_answers = False
+        self.is_store_available = False
         self.feed.close("the store does not answer")
 
     def _note_answer(self):
         now = self.clock()
         self.heard_at = now
-        if not self.store_answers:
-            self.store_answers = True
+        if not self.is_store_available:
+            self.is_store_available = True
             self.directory.note_return(now)
             log_event(Event.STORE_BACK, position=str(self.directory.position))
 
@@ -445,7 +445,7 @@
     def _ask_peers_often(self):
         while True:
             eventlet.sleep(PEER_SECONDS * random.uniform(0.8, 1.2))
-            if not self.store_answers:
+            if not self.is_store_available:
                 self._ask_peer()
 
     def _ask_peer(self):
--- a/packages/hingesill-node/hingesill_node/discovery/tests/restoringfleet.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/restoringfleet.py
@@ -163,7 +163,7 @@
                 follower.source,
                 follower.choice.own,
                 lambda node, f=follower: self._lists(f, node),
-                lambda f=follower: f.store_answers,
+                lambda f=follower: f.is_store_available,
                 lambda f=follower: f.directory.position.era,
                 lambda: entering_seconds,
                 read_clock,
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_follower.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_follower.py
@@ -122,7 +122,7 @@
         reads = [build_snapshot(5, 1, ("i1", "i2")), build_snapshot(6, 1, ("i1",))]
         follower = self.build(ScriptedSource(reads, [FAILED]))
         self.advance(follower, 3)
-        self.assertTrue(follower.store_answers)
+        self.assertTrue(follower.is_store_available)
         self.assertEqual(list(follower.directory.endpoints), ["i1"])
 
     def test_entries_missing_after_an_outage_are_believed_for_a_while(self):
@@ -154,7 +154,7 @@
         with eventlet.Timeout(1.0):
             waiting.wait()
         self.assertEqual(self.published, [1, 2])
-        self.assertTrue(follower.store_answers)
+        self.assertTrue(follower.is_store_available)
 
     def test_a_watch_that_is_silent_from_its_start_is_given_up_soon(self):
         source = SilentSource([build_snapshot(5, 1), build_snapshot(9, 2)])
@@ -189,13 +189,13 @@
         follower._check(FAILED)
         with eventlet.Timeout(1.0):
             waiting.wait()
-        self.assertFalse(follower.store_answers)
+        self.assertFalse(follower.is_store_available)
 
     def test_another_node_tells_while_the_store_is_away(self):
         peers = OnePeer(build_snapshot(12, 8))
         follower = self.build(ScriptedSource([build_snapshot(5, 1)]), peers)
         self.advance(follower, 1)
-        follower.store_answers = False
+        follower.is_store_available = False
         follower._ask_peer()
         self.assertEqual(self.published, [1, 8])
 
@@ -203,7 +203,7 @@
         peers = OnePeer(build_snapshot(4, 1, ()))
         follower = self.build(ScriptedSource([build_snapshot(5, 1)]), peers)
         self.advance(follower, 1)
-        follower.store_answers = False
+        follower.is_store_available = False
         follower._ask_peer()
         self.assertEqual(list(follower.directory.endpoints), ["i1"])
 
@@ -268,7 +268,7 @@
             ScriptedSource([build_restored(65, 21)]), OnePeer(build_snapshot(81, 24))
         )
         self.advance(follower, 1)
-        follower.store_answers = False
+        follower.is_store_available = False
         follower._ask_peer()
         self.assertEqual(self.published, [21, 24])
         self.assertEqual(follower.directory.position, Position(2, 65))
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
@@ -332,7 +332,7 @@
         self.start()
         self.wait_for(1, 1.0)
         eventlet.sleep(4.0)
-        self.assertFalse(self.follower.store_answers)
+        self.assertFalse(self.follower.is_store_available)
         self.source.reads.append(self.read(9, 4))
         self.wait_for(4, 2.5)
 
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_restored_fleet.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_restored_fleet.py
@@ -173,7 +173,7 @@
     found = []
 
     def watch(name, follower):
-        while not follower.is_settled():
+        while not follower.is_initialized():
             eventlet.sleep(0.005)
         if follower.directory.declared.version < 2:
             found.append(name)
--- a/packages/hingesill-node/hingesill_node/lifecycle.py
+++ b/packages/hingesill-node/hingesill_node/lifecycle.py
@@ -51,7 +51,7 @@
         phase = self.blackboard.phase
         if self._is_isolated():
             wanted = Phase.ISOLATED
-        elif self.control.is_settled():
+        elif self.control.is_initialized():
             wanted = Phase.SERVING
         else:
             wanted = Phase.STARTING
@@ -65,7 +65,7 @@
     def _is_isolated(self):
         """Tell whether neither the store nor any node was heard of for long."""
         now = self.clock()
-        if self.control.is_heard():
+        if self.control.is_connected():
             self._heard_at = now
         return now - self._heard_at > self.settings.isolation_s
 
--- a/packages/hingesill-node/hingesill_node/node.py
+++ b/packages/hingesill-node/hingesill_node/node.py
@@ -47,10 +47,10 @@
     def start(self, runners):
         """Begin to work; return what is wrong, or an empty text."""
 
-    def is_settled(self):
+    def is_initialized(self):
         """Tell whether what is known suffices to serve."""
 
-    def is_heard(self):
+    def is_connected(self):
         """Tell whether the store or another node answers."""
 
     def get_confirmed_age(self):
@@ -157,7 +157,7 @@
     def _wait_for_configuration(self, clock=time.monotonic):
         """Leave callers in the accept queue until their requests can be served."""
         until = clock() + FIRST_READ_SECONDS
-        while not self.control.is_settled() and clock() < until:
+        while not self.control.is_initialized() and clock() < until:
             eventlet.sleep(FIRST_READ_PAUSE)
 
     def _build_admin(self):
