--- a/packages/hingesill-core/hingesill_core/discovery/assembly.py
+++ b/packages/hingesill-core/hingesill_core/discovery/assembly.py
@@ -8,7 +8,7 @@
     SendBudget,
     Service,
 )
-from hingesill_core.routing.asking import ASKING_POLICY
+from hingesill_core.routing.loadqueries import FRESH_REPORT_POLICY
 
 __all__ = ["ServiceRules", "build_services"]
 
@@ -73,7 +73,7 @@
     records = sorted(records, key=lambda record: record.instance)
     return Service(
         name=declared.name,
-        policy=ASKING_POLICY,
+        policy=FRESH_REPORT_POLICY,
         endpoints=tuple(
             build_endpoint(declared, record, rules.regions) for record in records
         ),
--- a/packages/hingesill-core/hingesill_core/limits/asking.py
+++ b/packages/hingesill-core/hingesill_core/limits/querybudget.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, field
 
-__all__ = ["AskBudget"]
+__all__ = ["QueryBudget"]
 
 # Of a window's budget: what comes as time passes, what may be saved up, and
 # what a new process starts with. Together no window sees more than its budget,
@@ -12,7 +12,7 @@
 FIRST_SHARE = 0.05
 
 
-class AskBudget(Struct):
+class QueryBudget(Struct):
     """Tokens that come with time; each question takes one.
 
     Attributes
--- a/packages/hingesill-core/hingesill_core/limits/tests/test_asking.py
+++ b/packages/hingesill-core/hingesill_core/limits/tests/test_querybudget.py
@@ -3,12 +3,12 @@
 import unittest
 
 from hingesill_core.configuration.services import ProbeBudget
-from hingesill_core.limits.asking import AskBudget
+from hingesill_core.limits.querybudget import QueryBudget
 
 
 class AskBudgetTests(unittest.TestCase):
     def test_no_window_sees_more_than_its_part(self):
-        budget = AskBudget()
+        budget = QueryBudget()
         budget.set_part("a", ProbeBudget(40.0, 10.0, 1.0, 0.001, "/h"), 4)
         times = [
             step / 100
@@ -21,6 +21,6 @@
             self.assertLessEqual(inside, 100)
 
     def test_a_new_process_can_ask_at_once(self):
-        budget = AskBudget()
+        budget = QueryBudget()
         budget.set_part("a", ProbeBudget(40.0, 10.0, 1.0, 0.001, "/h"), 4)
         self.assertEqual(budget.take(3, 0.0), 3)
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -1,19 +1,19 @@
 """One service at one node: from a request to an endpoint, and what it learns."""
 
 from hingesill_core.limits.admission import Pace
-from hingesill_core.limits.asking import AskBudget
+from hingesill_core.limits.querybudget import QueryBudget
 from hingesill_core.limits.queue import RequestQueue
 from hingesill_core.limits.shares import compute_send_limit
 from hingesill_core.ratelimits.service import ServiceLimits
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.retries.budget import TokenBudget
 from hingesill_core.retries.decision import NOT_ARRIVED, mark_exposure
-from hingesill_core.routing.asking import ASKING_POLICY
 from hingesill_core.routing.availability import AvailabilityBook
 from hingesill_core.routing.endpoint_state import EndpointState, ServiceView
 from hingesill_core.routing.hedging import Hedging
 from hingesill_core.routing.latebinding import LateBinding
 from hingesill_core.routing.limitedrequests import LimitedRequests
+from hingesill_core.routing.loadqueries import FRESH_REPORT_POLICY
 from hingesill_core.routing.messages import Hold, Refusal, Send, SendEnd
 from hingesill_core.routing.openings import Openings
 from hingesill_core.routing.policies import POLICIES
@@ -36,7 +36,7 @@
         The node and its fleet.
     rng : random.Random
         Source of all random choices.
-    ask_pool : AskBudget or None
+    query_pool : QueryBudget or None
         Shared with other services of the node.
     curves : SlotCurves or None
         Of all services of the node.
@@ -51,7 +51,7 @@
         service,
         fleet,
         rng,
-        ask_pool=None,
+        query_pool=None,
         curves=None,
         limits=None,
         availabilities=None,
@@ -72,7 +72,7 @@
         self.limits = limits or ServiceLimits(service.name, rng)
         self.limits.usable = self._takes_work
         self.limited_requests = LimitedRequests(self)
-        self.binding = LateBinding(self, ask_pool or AskBudget(), curves)
+        self.binding = LateBinding(self, query_pool or QueryBudget(), curves)
         self.configure(service, fleet)
 
     def configure(self, service, fleet):
@@ -162,14 +162,14 @@
         self.last_submit = now
         self.hedging.budget.earn()
         self.retries.earn()
-        ask = self.begin_asking(ticket, now)
+        ask = self.begin_queries(ticket, now)
         if ask is not None:
             return ask
         return self.dispatch_unasked(ticket, now)
 
-    def begin_asking(self, ticket, now):
+    def begin_queries(self, ticket, now):
         """Return an Ask or a Refusal, or None if this service does not ask."""
-        if self.service.policy != ASKING_POLICY:
+        if self.service.policy != FRESH_REPORT_POLICY:
             return None
         return self.binding.enter(ticket, now)
 
@@ -253,7 +253,7 @@
         warm_up = self.binding.warm_up
         if not state.has_place(ticket, now):
             return False
-        return warm_up.allows_unasked(state, now, self.rng)
+        return warm_up.allows_without_query(state, now, self.rng)
 
     def start_send(self, ticket, state, now, hedge=False):
         """Return a Send to an endpoint, with all that is noted of it."""
--- a/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
+++ b/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
@@ -107,7 +107,7 @@
         Until when it is leaving by the word of others.
     suspicion, suspected_at : float
         What other nodes told of overdue answers, and when it was reckoned.
-    asked_at : float
+    queried_at : float
         When it was last asked for its load.
     region : str
         Where it runs; empty if that is not known.
@@ -144,7 +144,7 @@
     cold_since: float | None = None
     last_heard: float | None = None
     last_probe: float = 0.0
-    asked_at: float = float("-inf")
+    queried_at: float = float("-inf")
     warm_at: float = float("-inf")
     warmth_heard_at: float = float("-inf")
     entered_warm_in: float = 0.0
--- a/packages/hingesill-core/hingesill_core/routing/hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/hedging.py
@@ -2,7 +2,7 @@
 
 from hingesill_core.reasons import RetryReason
 from hingesill_core.retries.budget import TokenBudget
-from hingesill_core.routing.asking import ASKING_POLICY
+from hingesill_core.routing.loadqueries import FRESH_REPORT_POLICY
 from hingesill_core.routing.messages import Denied
 
 __all__ = ["Hedging"]
@@ -48,7 +48,7 @@
         about to miss their target, as late as a second send still helps.
         """
         typical = self.dispatcher.get_pace(send.ticket.route).typical
-        if self.dispatcher.service.policy == ASKING_POLICY:
+        if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
             return compute_last_chance(send, typical)
         spent = 1 - self.budget.tokens / self.budget.burst
         return (EARLIEST + (LATEST - EARLIEST) * spent) * typical
@@ -72,7 +72,7 @@
         denial = self._find_denial(ticket, now)
         if denial is not None:
             return Denied(denial)
-        if self.dispatcher.service.policy == ASKING_POLICY:
+        if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
             return self._ask(ticket, now)
         return self._send(ticket, now)
 
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -2,11 +2,16 @@
 
 from msgspec.structs import replace
 
-from hingesill_core.limits.asking import AskBudget
+from hingesill_core.limits.querybudget import QueryBudget
 from hingesill_core.limits.turnover import Turnover
 from hingesill_core.reasons import RefusalReason
-from hingesill_core.routing.asking import Ask, AskRules, Stage, is_good_enough
 from hingesill_core.routing.limitedwaiting import LimitedWaiting
+from hingesill_core.routing.loadqueries import (
+    LoadQuery,
+    QueryRules,
+    Stage,
+    is_good_enough,
+)
 from hingesill_core.routing.messages import SendEnd
 from hingesill_core.routing.selection import EndpointSelection, can_get_work, takes_work
 from hingesill_core.routing.slotknowledge import SlotKnowledge
@@ -26,19 +31,19 @@
     ----------
     dispatcher : Dispatcher
         The service's; its endpoints' states are read and written.
-    pool : AskBudget
+    pool : QueryBudget
         Shared by the services of this node whose budgets are pooled.
     curves : SlotCurves or None
         Of all services of this node.
-    rules : AskRules
+    rules : QueryRules
         How to ask.
     """
 
     def __init__(self, dispatcher, pool, curves=None, rules=None):
         self.dispatcher = dispatcher
         self.pool = pool
-        self.rules = rules or AskRules()
-        self.budget = AskBudget()
+        self.rules = rules or QueryRules()
+        self.budget = QueryBudget()
         self.slots = SlotKnowledge(curves)
         self.selection = EndpointSelection(dispatcher, self.rules)
         self.turnover = Turnover()
@@ -81,8 +86,8 @@
             self.waiting.pop(ticket)
             return self.dispatcher.refuse(ticket, RefusalReason.ENDPOINTS_LIMITED, now)
         if waiting.get_stage(now, self.rules) is Stage.LATE:
-            return Ask(())
-        return Ask(
+            return LoadQuery(())
+        return LoadQuery(
             self._choose(self.rules.at_once, now, (ticket.route,), is_first=True)
         )
 
@@ -120,7 +125,7 @@
             return None
         until = now + self.rules.hedge_wait
         self.waiting[ticket] = Waiting(ticket, now, until, until, hedge=True)
-        return Ask(endpoints)
+        return LoadQuery(endpoints)
 
     def estimate_wait(self, now):
         """Return the seconds that a request which came now would wait."""
@@ -134,7 +139,7 @@
         """Forget a request that no longer waits."""
         self.waiting.pop(ticket, None)
 
-    def ask_again(self, now):
+    def next_query(self, now):
         """Return the next Ask for all waiting requests together, or None."""
         if not self.waiting:
             return None
@@ -142,7 +147,7 @@
             self.limited.want_grants(now)
         routes = {waiting.ticket.route for waiting in self.waiting.values()}
         endpoints = self._choose(self._count_wanted(now), now, routes)
-        return Ask(endpoints) if endpoints else None
+        return LoadQuery(endpoints) if endpoints else None
 
     def _count_wanted(self, now):
         """Return how many endpoints are worth asking in this round.
@@ -166,15 +171,15 @@
         """Return the identities of endpoints to ask, as the budget allows."""
         candidates = self.selection.list_candidates(now, routes)
         count = self.budget.take(min(wanted, len(candidates)), now)
-        self.warm_up.note_questions(count, now)
+        self.warm_up.record_queries(count, now)
         chosen = self.selection.sample(candidates, count, now, is_first)
         for state in chosen:
-            state.asked_at = now
+            state.queried_at = now
             if state.reach.needs_trial(now):
                 state.reach.on_trial = True
         return tuple(state.identity for state in chosen)
 
-    def may_ask(self, identity, born, now):
+    def may_query(self, identity, born, now):
         """Tell whether a question to an endpoint's life may still be written."""
         state = self.dispatcher.states.get(identity)
         return state is not None and state.born == born and takes_work(state, now)
--- a/packages/hingesill-core/hingesill_core/routing/asking.py
+++ b/packages/hingesill-core/hingesill_core/routing/loadqueries.py
@@ -15,13 +15,20 @@
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.messages import SendEnd
 
-__all__ = ["ASKING_POLICY", "Ask", "AskRules", "Reply", "Stage", "is_good_enough"]
+__all__ = [
+    "FRESH_REPORT_POLICY",
+    "LoadQuery",
+    "QueryRules",
+    "LoadReply",
+    "Stage",
+    "is_good_enough",
+]
 
 # The policy of a declaration whose endpoints are asked before each send.
-ASKING_POLICY = "fresh_report"
+FRESH_REPORT_POLICY = "fresh_report"
 
 
-class AskRules(Struct, frozen=True):
+class QueryRules(Struct, frozen=True):
     """How a service's requests ask; times in seconds.
 
     Attributes
@@ -87,7 +94,7 @@
     LATE = 2
 
 
-class Ask(Struct, frozen=True):
+class LoadQuery(Struct, frozen=True):
     """Ask these endpoints for their load; the request waits meanwhile.
 
     Parameters
@@ -99,7 +106,7 @@
     endpoints: tuple[str, ...]
 
 
-class Reply(Struct, frozen=True):
+class LoadReply(Struct, frozen=True):
     """What asking an endpoint brought.
 
     Parameters
--- a/packages/hingesill-core/hingesill_core/routing/retrying.py
+++ b/packages/hingesill-core/hingesill_core/routing/retrying.py
@@ -35,7 +35,7 @@
         verdict = judge_retry(ticket, end, self._dispatcher.retries, now, quick)
         if isinstance(verdict, Denied):
             return self._give_up(ticket, end, now), verdict.reason
-        ask = self._dispatcher.begin_asking(ticket, now)
+        ask = self._dispatcher.begin_queries(ticket, now)
         if isinstance(ask, Refusal):
             return self._find_no_endpoint(ticket, end, now)
         if ask is not None:
--- a/packages/hingesill-core/hingesill_core/routing/selection.py
+++ b/packages/hingesill-core/hingesill_core/routing/selection.py
@@ -15,7 +15,7 @@
     ----------
     dispatcher : Dispatcher
         The service's; its endpoints' states are read.
-    rules : AskRules
+    rules : QueryRules
         How to ask.
 
     Attributes
@@ -116,7 +116,7 @@
         just_now = now - self.rules.selective
         for keep in (
             lambda s: s.reach.is_open() or s.reach.needs_trial(now),
-            lambda s: s.asked_at < just_now,
+            lambda s: s.queried_at < just_now,
         ):
             usable = [state for state in usable if keep(state)] or usable
         return usable
--- a/packages/hingesill-core/hingesill_core/routing/tests/playednode.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/playednode.py
@@ -4,12 +4,12 @@
 
 from msgspec import Struct, field
 
-from hingesill_core.limits.asking import AskBudget
+from hingesill_core.limits.querybudget import QueryBudget
 from hingesill_core.limits.spent import SpentTime
 from hingesill_core.ratelimits.fleet import FleetLimits
-from hingesill_core.routing.asking import Ask, Reply
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.fleetview import FleetView
+from hingesill_core.routing.loadqueries import LoadQuery, LoadReply
 from hingesill_core.routing.messages import (
     Refusal,
     Send,
@@ -50,7 +50,7 @@
             self.fleet_limits = FleetLimits(random.Random(number))
         limits = self.fleet_limits and self.fleet_limits.get(play.service.name)
         self.dispatcher = Dispatcher(
-            play.service, fleet, rng, AskBudget(), limits=limits
+            play.service, fleet, rng, QueryBudget(), limits=limits
         )
         self.spent = SpentTime()
         self.attempts = {}
@@ -75,7 +75,7 @@
         self._act(attempt, self.dispatcher.submit(ticket, now))
 
     def _act(self, attempt, decision):
-        if isinstance(decision, Ask):
+        if isinstance(decision, LoadQuery):
             self._ask(decision)
         elif isinstance(decision, Refusal):
             self._refuse(attempt, decision)
@@ -92,7 +92,7 @@
             self.play.after(ROUND_SECONDS, self._tick)
 
     def _look_at(self, endpoint, way):
-        reply = Reply(
+        reply = LoadReply(
             endpoint.identity,
             SendEnd.ANSWERED,
             endpoint.report(),
@@ -122,7 +122,7 @@
                 self.dispatcher.hedging.end(ticket)
             else:
                 self._act(attempt, decision)
-        ask = binding.ask_again(now)
+        ask = binding.next_query(now)
         self.is_ticking = bool(binding.waiting)
         if ask is not None:
             self.is_ticking = True
@@ -147,7 +147,7 @@
         hedging = self.dispatcher.hedging
         now = self.play.now
         decision = hedging.start(attempt.ticket, now)
-        if isinstance(decision, Ask):
+        if isinstance(decision, LoadQuery):
             self._ask(decision)
         elif isinstance(decision, Send):
             self._start(attempt, decision)
@@ -168,7 +168,7 @@
         if result.end is SendEnd.ANSWERED:
             self._close(attempt)
             self.play.answer(attempt.request)
-            self._take(Reply(send.endpoint, SendEnd.ANSWERED, result.report))
+            self._take(LoadReply(send.endpoint, SendEnd.ANSWERED, result.report))
         elif not attempt.live:
             self.dispatcher.binding.leave(attempt.ticket)
             decision, _ = self.dispatcher.retry(attempt.ticket, result.end, now)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_hedging.py
@@ -6,8 +6,8 @@
 from msgspec.structs import replace
 
 from hingesill_core.configuration.services import SendBudget
-from hingesill_core.routing.asking import Ask, AskRules
 from hingesill_core.routing.dispatcher import Dispatcher
+from hingesill_core.routing.loadqueries import LoadQuery, QueryRules
 from hingesill_core.routing.messages import Denied, Refusal, Ticket
 from hingesill_core.routing.tests.test_latebinding import (
     FLEET,
@@ -29,7 +29,7 @@
 
     def test_a_hedge_asks_and_goes_elsewhere(self):
         ask = self.dispatcher.hedging.start(self.ticket, 0.2)
-        self.assertIsInstance(ask, Ask)
+        self.assertIsInstance(ask, LoadQuery)
         self.assertIsNone(self.binding.take(reply("i1", 0), 0.21))
         hedge = self.binding.take(reply("i2", 0), 0.21)
         self.assertTrue(hedge.hedge)
@@ -66,7 +66,7 @@
         tokens = self.dispatcher.retries.tokens
         self.dispatcher.hedging.start(self.ticket, 0.2)
         self.binding.has_reports = False
-        expired = list(self.binding.expire(0.2 + AskRules().hedge_wait))
+        expired = list(self.binding.expire(0.2 + QueryRules().hedge_wait))
         self.assertIsInstance(expired[0][1], Refusal)
         self.dispatcher.hedging.end(self.ticket)
         self.assertEqual(self.dispatcher.retries.tokens, tokens)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_homes.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_homes.py
@@ -7,10 +7,10 @@
 
 from hingesill_core.configuration.services import Endpoint
 from hingesill_core.reasons import Outcome, RefusalReason
-from hingesill_core.routing.asking import Ask, Reply
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.load_report import LoadReport
+from hingesill_core.routing.loadqueries import LoadQuery, LoadReply
 from hingesill_core.routing.messages import (
     Refusal,
     Send,
@@ -33,7 +33,7 @@
 
 
 def reply(endpoint):
-    return Reply(endpoint, SendEnd.ANSWERED, LoadReport(0, 0.0, 0, 3))
+    return LoadReply(endpoint, SendEnd.ANSWERED, LoadReport(0, 0.0, 0, 3))
 
 
 class HomesCase(unittest.TestCase):
@@ -57,7 +57,7 @@
     def test_only_endpoints_at_home_are_asked(self):
         ask = self.dispatcher.submit(self.ticket, 0.0)
         self.assertEqual(sorted(ask.endpoints), ["south2", "south3"])
-        again = self.binding.ask_again(0.05)
+        again = self.binding.next_query(0.05)
         self.assertLessEqual(set(again.endpoints), {"south2", "south3"})
 
     def test_a_reply_from_elsewhere_is_for_others(self):
@@ -75,7 +75,7 @@
         send = self.binding.take(reply("south2"), 0.05)
         self.dispatcher.settle(send, SendResult(SendEnd.LOST), 0.1)
         decision, _ = self.dispatcher.retry(self.ticket, SendEnd.LOST, 0.1)
-        self.assertIsInstance(decision, Ask)
+        self.assertIsInstance(decision, LoadQuery)
         self.assertLessEqual(set(decision.endpoints), {"south2", "south3"})
         self.assertIsNone(self.binding.take(reply("west4"), 0.2))
 
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_latebinding.py
@@ -13,10 +13,10 @@
     Service,
 )
 from hingesill_core.reasons import Outcome, RefusalReason
-from hingesill_core.routing.asking import Ask, AskRules, Reply
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.load_report import LoadReport
+from hingesill_core.routing.loadqueries import LoadQuery, LoadReply, QueryRules
 from hingesill_core.routing.messages import Refusal, Send, SendEnd, SendResult, Ticket
 
 ROUTE = Route("arena", "", "/a/", True, True, 2.0, target=0.25, most_sends=2)
@@ -35,7 +35,7 @@
 
 def reply(endpoint, running, slots=3, slowness=1.0):
     report = LoadReport(running, 0.0, 0, slots, slowness)
-    return Reply(endpoint, SendEnd.ANSWERED, report)
+    return LoadReply(endpoint, SendEnd.ANSWERED, report)
 
 
 class AskingTests(unittest.TestCase):
@@ -46,8 +46,8 @@
 
     def test_a_request_asks_before_it_goes(self):
         ask = self.dispatcher.submit(self.ticket, 0.0)
-        self.assertIsInstance(ask, Ask)
-        self.assertEqual(len(set(ask.endpoints)), AskRules().at_once)
+        self.assertIsInstance(ask, LoadQuery)
+        self.assertEqual(len(set(ask.endpoints)), QueryRules().at_once)
 
     def test_it_goes_to_the_one_with_two_free_slots(self):
         self.dispatcher.submit(self.ticket, 0.0)
@@ -134,27 +134,27 @@
 
     def test_a_late_request_waits_for_what_others_learn(self):
         self.ticket.spent = 0.3
-        self.assertEqual(self.dispatcher.submit(self.ticket, 0.0), Ask(()))
+        self.assertEqual(self.dispatcher.submit(self.ticket, 0.0), LoadQuery(()))
         self.assertIsInstance(self.binding.take(reply("i0", 0), 0.01), Send)
 
     def test_late_requests_alone_ask_seldom(self):
         for _ in range(8):
             self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0, spent=0.3), 0.0)
-        asks = [self.binding.ask_again(0.015 * turn) for turn in range(1, 21)]
+        asks = [self.binding.next_query(0.015 * turn) for turn in range(1, 21)]
         asked = sum(len(ask.endpoints) for ask in asks if ask is not None)
         self.assertIn(asked, range(4, 8))
 
     def test_late_requests_take_no_questions_from_those_in_time(self):
         self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0, spent=0.3), 0.0)
         self.dispatcher.submit(self.ticket, 0.0)
-        ask = self.binding.ask_again(0.015)
-        self.assertEqual(len(ask.endpoints), AskRules().at_once)
+        ask = self.binding.next_query(0.015)
+        self.assertEqual(len(ask.endpoints), QueryRules().at_once)
 
     def test_endpoints_with_an_idle_connection_are_asked_first(self):
         self.binding.selection.is_connected = lambda identity: identity in ("i1", "i3")
         first = self.dispatcher.submit(self.ticket, 0.0)
         self.assertEqual(set(first.endpoints), {"i1", "i3"})
-        second = self.binding.ask_again(0.01)
+        second = self.binding.next_query(0.01)
         self.assertEqual(set(second.endpoints), {"i0", "i2"})
 
     def test_a_hedge_says_nothing_of_when_others_find_room(self):
@@ -174,7 +174,7 @@
     def test_later_rounds_ask_all_alike(self):
         self.binding.selection.is_connected = lambda identity: identity in ("i1", "i3")
         self.dispatcher.submit(self.ticket, 0.0)
-        asks = [self.binding.ask_again(0.03 * turn) for turn in range(1, 5)]
+        asks = [self.binding.next_query(0.03 * turn) for turn in range(1, 5)]
         names = {name for ask in asks for name in ask.endpoints}
         self.assertTrue({"i0", "i2"} & names)
 
@@ -209,7 +209,7 @@
 
     def test_later_rounds_ask_others(self):
         first = self.dispatcher.submit(self.ticket, 0.0)
-        second = self.binding.ask_again(0.01)
+        second = self.binding.next_query(0.01)
         self.assertFalse(set(first.endpoints) & set(second.endpoints))
 
     def test_the_more_urgent_rank_goes_first(self):
@@ -233,7 +233,7 @@
         self.assertIs(ticket, self.ticket)
         self.assertIs(refusal.outcome, Outcome.NOT_RUN)
         self.assertIsNotNone(refusal.retry_after)
-        self.assertIsNone(self.binding.ask_again(2.0))
+        self.assertIsNone(self.binding.next_query(2.0))
 
     def test_a_full_line_refuses_at_once(self):
         for _ in range(16):
@@ -255,7 +255,7 @@
 
     def test_silent_endpoints_are_asked_less(self):
         for _ in range(2):
-            self.binding.note_reply(Reply("i0", SendEnd.LOST), 0.0)
+            self.binding.note_reply(LoadReply("i0", SendEnd.LOST), 0.0)
         asked = set()
         for _ in range(10):
             ask = self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.1)
@@ -278,9 +278,9 @@
 
     def test_without_reports_nobody_is_asked(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        self.binding.take(Reply("i0", SendEnd.ANSWERED), 0.01)
+        self.binding.take(LoadReply("i0", SendEnd.ANSWERED), 0.01)
         decision = self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.02)
-        self.assertNotIsInstance(decision, Ask)
+        self.assertNotIsInstance(decision, LoadQuery)
         ((_, waiting),) = self.binding.expire(0.03)
         self.assertIsInstance(waiting, Send)
 
@@ -314,12 +314,12 @@
         dispatcher = Dispatcher(service, FLEET, random.Random(1))
         ask = dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.0)
         near = [name for name in ask.endpoints if int(name[1:]) % 2 == 0]
-        self.assertGreaterEqual(len(near), AskRules().at_once - 1)
+        self.assertGreaterEqual(len(near), QueryRules().at_once - 1)
 
     def test_where_many_are_near_a_new_request_asks_only_them(self):
         endpoints = tuple(
             Endpoint(f"10.0.0.{n}:80", "ab"[n % 2], 3, 100, f"i{n}")
-            for n in range(2 * AskRules().many_near)
+            for n in range(2 * QueryRules().many_near)
         )
         service = replace(build_service(), endpoints=endpoints)
         for seed in range(20):
@@ -330,4 +330,4 @@
     def test_without_near_ones_others_are_asked(self):
         dispatcher = Dispatcher(build_service(), FleetView("z", 4, 8), random.Random(1))
         ask = dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.0)
-        self.assertEqual(len(set(ask.endpoints)), AskRules().at_once)
+        self.assertEqual(len(set(ask.endpoints)), QueryRules().at_once)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_levels.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_levels.py
@@ -6,10 +6,10 @@
 from msgspec.structs import replace
 
 from hingesill_core.configuration.services import Route
-from hingesill_core.routing.asking import Stage, is_good_enough
 from hingesill_core.routing.curves import SlotCurves, pool_profiles
 from hingesill_core.routing.levels import FEWEST_ANSWERS, HALF_LIFE, MOST_ANSWERS
 from hingesill_core.routing.load_report import LoadReport
+from hingesill_core.routing.loadqueries import Stage, is_good_enough
 from hingesill_core.routing.profile import LevelProfile, ServiceProfile, UsualTime
 from hingesill_core.routing.slotknowledge import SETTLED_ANSWERS, SlotKnowledge
 from hingesill_core.routing.usualtimes import MOST_RATIO, UsualTimes
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
@@ -7,9 +7,9 @@
 
 from hingesill_core.ratelimits.reportedlimits import NO_LIMIT, NamedLimit
 from hingesill_core.reasons import Outcome, RefusalReason
-from hingesill_core.routing.asking import Ask
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.fleetview import FleetView
+from hingesill_core.routing.loadqueries import LoadQuery
 from hingesill_core.routing.messages import Refusal, Send, SendEnd, SendResult, Ticket
 from hingesill_core.routing.tests.test_latebinding import ROUTE, build_service, reply
 
@@ -43,7 +43,7 @@
     def send(self, now):
         """Submit a request, let all that is asked reply; return what became of it."""
         decision = self.submit(now)
-        if not isinstance(decision, Ask):
+        if not isinstance(decision, LoadQuery):
             return decision
         sends = [self.binding.take(reply(e, 0), now) for e in decision.endpoints]
         return next((send for send in sends if send is not None), None)
@@ -60,7 +60,7 @@
         self.binding.take(name("i0", 3.0, 0.0), 0.01)
         self.submit(1.0)
         self.assertIsNone(self.binding.take(reply("i1", 3), 1.0))
-        asked = [self.binding.ask_again(1.0 + n * 0.015) for n in range(40)]
+        asked = [self.binding.next_query(1.0 + n * 0.015) for n in range(40)]
         endpoints = {name for ask in asked if ask for name in ask.endpoints}
         self.assertIn("i0", endpoints)
         self.assertIsInstance(self.binding.take(reply("i0", 0), 1.6), Send)
@@ -86,7 +86,7 @@
             now += 0.001
         later = now + decision.retry_after
         ask = self.submit(later)
-        self.assertIsInstance(ask, Ask)
+        self.assertIsInstance(ask, LoadQuery)
 
     def test_a_limit_of_nothing(self):
         self.name_all(0.0)
@@ -120,7 +120,7 @@
     def test_without_a_need_nothing_is_asked_for(self):
         self.limits.grant_client.want = None
         self.assertIsInstance(self.send(1.0), Send)
-        self.binding.ask_again(1.1)
+        self.binding.next_query(1.1)
 
 
 class UnaskedTests(LimitedCase):
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_openings.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_openings.py
@@ -4,9 +4,9 @@
 import unittest
 
 from hingesill_core.reasons import Outcome, RefusalReason
-from hingesill_core.routing.asking import Ask
 from hingesill_core.routing.availability import NO_REST, RequestedRest
 from hingesill_core.routing.dispatcher import Dispatcher
+from hingesill_core.routing.loadqueries import LoadQuery
 from hingesill_core.routing.messages import Refusal, SendEnd, SendResult, Ticket
 from hingesill_core.routing.openings import PATIENCE_SECONDS, SPREAD_SECONDS
 from hingesill_core.routing.tests.test_latebinding import (
@@ -50,7 +50,7 @@
 
     def test_an_end_that_comes_at_once_is_waited_for(self):
         self.rest(3.0, 3.0, 3.0)
-        self.assertIsInstance(self.submit(3.0 - 0.9 * PATIENCE_SECONDS), Ask)
+        self.assertIsInstance(self.submit(3.0 - 0.9 * PATIENCE_SECONDS), LoadQuery)
 
     def test_a_request_that_waits_already_is_refused_with_the_next_round(self):
         self.submit()
@@ -91,7 +91,7 @@
 class OneTakesRequestsTests(OpeningCase):
     def test_requests_wait_for_it(self):
         self.rest(3.0, 3.0)
-        self.assertIsInstance(self.submit(), Ask)
+        self.assertIsInstance(self.submit(), LoadQuery)
         self.assertEqual(list(self.binding.expire(0.02)), [])
 
     def test_one_that_lost_the_request_is_none_to_wait_for(self):
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
@@ -5,11 +5,11 @@
 
 from msgspec.structs import replace
 
-from hingesill_core.routing.asking import Reply
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.endpoint_state import EndpointState
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.load_report import LoadReport
+from hingesill_core.routing.loadqueries import LoadReply
 from hingesill_core.routing.messages import Send, SendEnd, SendResult, Ticket
 from hingesill_core.routing.tests.test_latebinding import ROUTE, build_service
 from hingesill_core.routing.warmup import WORD_HOLDS, WarmUpLimit
@@ -20,7 +20,7 @@
 
 def reply(endpoint, running, warm_in):
     report = LoadReport(running, 0.0, 0, 2)
-    return Reply(endpoint, SendEnd.ANSWERED, report, warm_in)
+    return LoadReply(endpoint, SendEnd.ANSWERED, report, warm_in)
 
 
 class WarmUpTests(unittest.TestCase):
@@ -89,13 +89,13 @@
         for turn in range(int(self.SECONDS * 100)):
             now = 1.0 + turn * 0.01
             for limit, state in zip(limits, states):
-                if limit.allows_unasked(state, now, rng):
+                if limit.allows_without_query(state, now, rng):
                     times.append(now)
         worst = max(sum(at <= t < at + 1.0 for t in times) for at in times)
         self.assertLessEqual(worst, RATE * 1.5 + 8.0)
         self.assertGreater(len(times), 0.5 * RATE * self.SECONDS)
         late = 1.0 + self.SECONDS + 0.1
-        self.assertTrue(limits[0].allows_unasked(states[0], late, rng))
+        self.assertTrue(limits[0].allows_without_query(states[0], late, rng))
 
 
 class RestTests(unittest.TestCase):
@@ -138,7 +138,7 @@
         while now < self.SECONDS:
             now += rng.expovariate(questions * self.ENDPOINTS)
             number = rng.randrange(nodes)
-            limits[number].note_questions(1, now)
+            limits[number].record_queries(1, now)
             if rng.randrange(self.ENDPOINTS):
                 continue
             states[number].note_warmth(1.0, now)
--- a/packages/hingesill-core/hingesill_core/routing/waiting.py
+++ b/packages/hingesill-core/hingesill_core/routing/waiting.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from hingesill_core.routing.asking import Stage
+from hingesill_core.routing.loadqueries import Stage
 
 __all__ = ["Waiting"]
 
--- a/packages/hingesill-core/hingesill_core/routing/warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/warmup.py
@@ -62,7 +62,7 @@
         self.nodes = max(1, fleet.nodes)
         self.endpoints = max(1, len(service.endpoints))
 
-    def note_questions(self, count, now):
+    def record_queries(self, count, now):
         """Take note of questions that this node asks."""
         self.questions = self._count_questions(now) + count
         self.counted_at = now
@@ -102,7 +102,7 @@
         own = self._count_questions(now) / self.endpoints / COUNTED_SECONDS
         return min(1.0, USED_SHARE * self.rate / (self.nodes * max(own, LEAST_OWN)))
 
-    def allows_unasked(self, state, now, rng):
+    def allows_without_query(self, state, now, rng):
         """Tell whether this node may send to an endpoint that tells no load.
 
         Notes
--- a/packages/hingesill-node/hingesill_node/datapath/exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/exchange.py
@@ -8,7 +8,7 @@
 import eventlet
 
 from hingesill_core.reasons import RefusalReason, RetryReason
-from hingesill_core.routing.asking import Ask
+from hingesill_core.routing.loadqueries import LoadQuery
 from hingesill_core.routing.messages import (
     Denied,
     Hold,
@@ -78,7 +78,7 @@
         decision = self.runner.dispatcher.submit(self.ticket, self.clock())
         try:
             while True:
-                if isinstance(decision, Ask):
+                if isinstance(decision, LoadQuery):
                     decision = self._wait_for_reply(decision)
                 elif isinstance(decision, Hold):
                     self._tell(StepKind.HELD)
@@ -221,7 +221,7 @@
             self.counters.add("retries", self.service, decision.reason.value)
             return
         self.counters.add("retries", self.service, RetryReason.HEDGE.value)
-        if isinstance(decision, Ask):
+        if isinstance(decision, LoadQuery):
             room = self.runner.get_room(self.wire, self.counters)
             self.hedge = AskedHedge(self, room)
             eventlet.spawn_n(self.hedge.run, decision)
--- a/packages/hingesill-node/hingesill_node/datapath/asking.py
+++ b/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
@@ -5,7 +5,7 @@
 from msgspec.structs import replace
 
 from hingesill_core.reasons import Outcome, RefusalReason
-from hingesill_core.routing.asking import Ask, Reply
+from hingesill_core.routing.loadqueries import LoadQuery, LoadReply
 from hingesill_core.routing.messages import Refusal, SendEnd
 from hingesill_node.datapath.callers import is_caller_gone
 from hingesill_node.datapath.connections import ConnectFailed, PoolFull
@@ -83,15 +83,15 @@
         """
         if not self._events:
             return
-        reply = Reply(endpoint, SendEnd.ANSWERED, report)
+        reply = LoadReply(endpoint, SendEnd.ANSWERED, report)
         send = self.binding.take(reply, self.runner.clock())
         if send is not None:
             self._hand(send.ticket, Found(send))
 
-    def look_at(self, endpoints):
+    def query_load(self, endpoints):
         """Ask endpoints, as the budget allows, to learn what they tell."""
         count = self.binding.budget.take(len(endpoints), self.runner.clock())
-        self._ask(Ask(tuple(endpoints[:count])))
+        self._ask(LoadQuery(tuple(endpoints[:count])))
 
     def withdraw(self, ticket):
         """Let a request wait no longer; its green thread goes on with nothing."""
@@ -105,7 +105,7 @@
             now = self.runner.clock()
             for ticket, decision in self.binding.expire(now):
                 self._hand(ticket, Found(decision))
-            ask = self.binding.ask_again(now)
+            ask = self.binding.next_query(now)
             if ask is not None:
                 self._ask(ask)
         self._keeper = None
@@ -128,7 +128,7 @@
         response = None
         try:
             connection = pool.take()
-            if not self.binding.may_ask(endpoint, pool.born, self.runner.clock()):
+            if not self.binding.may_query(endpoint, pool.born, self.runner.clock()):
                 pool.give_back(connection)
                 return
             reply, response = self._call(endpoint, connection)
@@ -136,9 +136,9 @@
             self.counters.add("probes_left_out", self.runner.dispatcher.service.name)
             return
         except ConnectFailed:
-            reply = Reply(endpoint, SendEnd.CONNECT_FAILED)
+            reply = LoadReply(endpoint, SendEnd.CONNECT_FAILED)
         except TRANSPORT_ERRORS:
-            reply = Reply(endpoint, SendEnd.LOST)
+            reply = LoadReply(endpoint, SendEnd.LOST)
         if connection is not None and response is None:
             pool.discard(connection)
             connection = None
@@ -165,7 +165,7 @@
         # An endpoint that is asked for its state and tells nothing of warmth is warm.
         warm_in = signals.warm_in or 0.0
         is_unhealthy = response.status >= FIRST_FAULT_STATUS
-        reply = Reply(
+        reply = LoadReply(
             endpoint,
             SendEnd.ANSWERED,
             signals.report,
@@ -187,8 +187,8 @@
         """
         signals = self.wire.read_signals(response, self.runner.clock(), 0)
         if not (self.wire.is_unsigned(response) and signals.rest.seconds):
-            return Reply(endpoint, SendEnd.LOST)
-        return Reply(endpoint, SendEnd.REFUSED, rest=signals.rest)
+            return LoadReply(endpoint, SendEnd.LOST)
+        return LoadReply(endpoint, SendEnd.REFUSED, rest=signals.rest)
 
     def _take(self, reply, pool, connection, response):
         """Give the reply, and the connection that brought it, to a request."""
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -10,9 +10,9 @@
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.messages import Refusal, SendEnd, SendResult
 from hingesill_node.crashes.requestguard import RequestGuard
-from hingesill_node.datapath.asking import WaitingRoom
 from hingesill_node.datapath.callers import is_caller_gone
 from hingesill_node.datapath.connections import Pool
+from hingesill_node.datapath.loadqueries import WaitingRoom
 from hingesill_node.telemetry.events import Event, log_event
 
 __all__ = ["ServiceRunner"]
@@ -37,7 +37,7 @@
         For the dispatcher.
     announce : Announcements
         Told of endpoints that leave and of overdue answers.
-    ask_pool : AskBudget or None
+    query_pool : QueryBudget or None
         Shared with other services of the node.
     curves : SlotCurves or None
         Of all services of the node.
@@ -57,7 +57,7 @@
         fleet,
         rng,
         announce,
-        ask_pool=None,
+        query_pool=None,
         curves=None,
         clock=time.monotonic,
         guard=None,
@@ -66,7 +66,7 @@
     ):
         self.guard = guard or RequestGuard()
         self.dispatcher = Dispatcher(
-            service, fleet, rng, ask_pool, curves, limits, availabilities
+            service, fleet, rng, query_pool, curves, limits, availabilities
         )
         self._complain_from = 0.0
         self.announce = announce
--- a/packages/hingesill-node/hingesill_node/datapath/runnertable.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runnertable.py
@@ -2,7 +2,7 @@
 
 import time
 
-from hingesill_core.limits.asking import AskBudget
+from hingesill_core.limits.querybudget import QueryBudget
 from hingesill_core.ratelimits.fleet import FleetLimits
 from hingesill_core.routing.availability import AvailabilityBook
 from hingesill_core.routing.curves import SlotCurves, pool_profiles
@@ -34,7 +34,7 @@
         self.announce = announce
         self.clock = clock
         self.runners = {}
-        self.ask_pool = AskBudget()
+        self.query_pool = QueryBudget()
         self.curves = SlotCurves()
         self.guard = RequestGuard()
         self.limits = FleetLimits(rng, log_limit, self._is_declared)
@@ -58,7 +58,7 @@
                 board.fleet,
                 self.rng,
                 self.announce,
-                self.ask_pool,
+                self.query_pool,
                 self.curves,
                 self.clock,
                 self.guard,
@@ -80,11 +80,11 @@
         self._counters = counters
         self.availability_log.counters = counters
 
-    def look_at(self, name, endpoints):
+    def query_load(self, name, endpoints):
         """Ask some endpoints of a service for their load, on behalf of no request."""
         if endpoints and self._is_declared(name):
             room = self.get(name).get_room(self._wire, self._counters)
-            room.look_at(endpoints)
+            room.query_load(endpoints)
 
     def refresh(self):
         """Bring all runners to the configuration and fleet in force."""
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
@@ -4,8 +4,8 @@
 from unittest.mock import patch
 
 from hingesill_core.reasons import Outcome, RetryReason
-from hingesill_core.routing.asking import Ask
 from hingesill_core.routing.availability import RequestedRest
+from hingesill_core.routing.loadqueries import LoadQuery
 from hingesill_core.routing.messages import (
     Denied,
     Send,
@@ -18,7 +18,7 @@
 from hingesill_node.datapath.messages import Body, CallerRequest, LiveSend
 from hingesill_node.datapath.responses import EndpointResponse
 from hingesill_node.datapath.story import describe_end
-from hingesill_node.datapath.tests.test_asking import ROUTE, build_runner
+from hingesill_node.datapath.tests.test_loadqueries import ROUTE, build_runner
 from hingesill_node.datapath.wire import OwnFormat
 from hingesill_node.telemetry.counters import Counters
 
@@ -146,7 +146,7 @@
         self.runner.dispatcher.retries.tokens = 0.0
         now = self.runner.clock()
         retry = self.runner.dispatcher.retry(self.ticket, SendEnd.NOT_SENT, now)
-        self.assertIsInstance(retry[0], Ask)
+        self.assertIsInstance(retry[0], LoadQuery)
         self.assertEqual(self.runner.dispatcher.retries.tokens, 0.0)
 
 
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_guarded.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_guarded.py
@@ -6,7 +6,7 @@
 from hingesill_core.routing.messages import Refusal, Send, SendEnd, SendResult, Ticket
 from hingesill_node.datapath.exchange import Exchange
 from hingesill_node.datapath.messages import Body, CallerRequest, LiveSend
-from hingesill_node.datapath.tests.test_asking import ROUTE, build_runner
+from hingesill_node.datapath.tests.test_loadqueries import ROUTE, build_runner
 from hingesill_node.datapath.wire import OwnFormat
 from hingesill_node.telemetry.counters import Counters
 
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_lives.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_lives.py
@@ -3,7 +3,7 @@
 import unittest
 
 from hingesill_core.routing.fleetview import FleetView
-from hingesill_node.datapath.tests.test_asking import build_runner, build_service
+from hingesill_node.datapath.tests.test_loadqueries import build_runner, build_service
 
 FLEET = FleetView("a", 4, 8)
 
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_asking.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
@@ -13,9 +13,9 @@
     SendBudget,
     Service,
 )
-from hingesill_core.routing.asking import Ask
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.load_report import LoadReport
+from hingesill_core.routing.loadqueries import LoadQuery
 from hingesill_core.routing.messages import Send, SendEnd, SendResult, Ticket
 from hingesill_node.datapath.hedges import AskedHedge
 from hingesill_node.datapath.messages import Body, CallerRequest
@@ -123,7 +123,7 @@
 class WaitingRoomTests(RoomTestCase):
     def wait(self):
         self.runner.dispatcher.submit(self.ticket, self.runner.clock())
-        waiting = eventlet.spawn(self.room.wait, self.request, Ask(()))
+        waiting = eventlet.spawn(self.room.wait, self.request, LoadQuery(()))
         eventlet.sleep(0)
         return waiting
 
@@ -187,8 +187,8 @@
 
     def start(self):
         ask = self.dispatcher.hedging.start(self.ticket, self.runner.clock())
-        self.assertIsInstance(ask, Ask)
-        thread = eventlet.spawn(self.hedge.run, Ask(()))
+        self.assertIsInstance(ask, LoadQuery)
+        thread = eventlet.spawn(self.hedge.run, LoadQuery(()))
         eventlet.sleep(0)
         return thread
 
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_suspension.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_suspension.py
@@ -8,7 +8,7 @@
 from hingesill_core.reasons import RefusalReason
 from hingesill_core.routing.messages import Ticket
 from hingesill_node.datapath.messages import Body, CallerRequest
-from hingesill_node.datapath.tests.test_asking import ROUTE, build_runner
+from hingesill_node.datapath.tests.test_loadqueries import ROUTE, build_runner
 from hingesill_node.datapath.wire import OwnFormat
 from hingesill_node.telemetry.counters import Counters
 
--- a/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
@@ -110,7 +110,7 @@
         """
         for limits in list(self.limits.services.values()):
             if limits.limited and limits.is_in_health and limits.is_first():
-                self.runners.look_at(limits.name, limits.list_unheard(now))
+                self.runners.query_load(limits.name, limits.list_unheard(now))
 
 
 def log_limit(change):
--- a/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
@@ -94,7 +94,7 @@
     def clock(self):
         return eventlet.hubs.get_hub().clock()
 
-    def look_at(self, name, endpoints):
+    def query_load(self, name, endpoints):
         pass
 
 
