--- a/packages/hingesill-core/hingesill_core/limits/spent.py
+++ b/packages/hingesill-core/hingesill_core/limits/elapsedtime.py
@@ -4,7 +4,7 @@
 
 from hingesill_core.routing.quantile import Quantile
 
-__all__ = ["SpentTime"]
+__all__ = ["ElapsedTimeEstimator"]
 
 # The longest time that is not seen any more fades by this share a request.
 FADE = 0.002
@@ -22,7 +22,7 @@
 FIRST_GUESS = 0.95
 
 
-class SpentTime(Struct):
+class ElapsedTimeEstimator(Struct):
     """The time that callers of each route bring with their first tries.
 
     Notes
@@ -52,7 +52,7 @@
     )
     learns_from: float = float("-inf")
 
-    def note_unserved(self, now):
+    def record_unserved(self, now):
         """Take note, in seconds of the node's clock, that a caller got no answer."""
         self.learns_from = now + TROUBLE_SECONDS
 
--- a/packages/hingesill-core/hingesill_core/limits/tests/test_spent.py
+++ b/packages/hingesill-core/hingesill_core/limits/tests/test_elapsedtime.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from hingesill_core.limits.spent import SpentTime
+from hingesill_core.limits.elapsedtime import ElapsedTimeEstimator
 
 TIMES = (3.0, 4.0, 6.0, 8.0)
 
@@ -17,45 +17,45 @@
         First tries bring this share of each route's time, or more.
     """
     rng = random.Random(seed)
-    spent = SpentTime()
+    elapsed = ElapsedTimeEstimator()
     taken = []
     for _ in range(tries):
         limit = rng.choice(TIMES)
         brought = limit * rng.uniform(least_share, 1.0)
-        taken.append(spent.estimate(limit, brought, 0.0))
-    return spent, taken
+        taken.append(elapsed.estimate(limit, brought, 0.0))
+    return elapsed, taken
 
 
 class SpentTimeTests(unittest.TestCase):
     def test_a_first_try_has_spent_nothing(self):
-        spent = SpentTime()
-        self.assertEqual(spent.estimate("r", 2.0, 0.0), 0.0)
-        self.assertAlmostEqual(spent.estimate("r", 2.0, 0.0), 0.0)
+        elapsed = ElapsedTimeEstimator()
+        self.assertEqual(elapsed.estimate("r", 2.0, 0.0), 0.0)
+        self.assertAlmostEqual(elapsed.estimate("r", 2.0, 0.0), 0.0)
 
     def test_a_later_try_has_spent_the_rest(self):
-        spent, _ = learn(1.0)
-        self.assertAlmostEqual(spent.estimate(4.0, 3.5, 0.0), 0.5, delta=0.15)
-        self.assertAlmostEqual(spent.estimate(8.0, 3.0, 0.0), 5.0, delta=0.3)
+        elapsed, _ = learn(1.0)
+        self.assertAlmostEqual(elapsed.estimate(4.0, 3.5, 0.0), 0.5, delta=0.15)
+        self.assertAlmostEqual(elapsed.estimate(8.0, 3.0, 0.0), 5.0, delta=0.3)
 
     def test_a_node_that_has_just_started_sees_who_waited_long(self):
-        spent = SpentTime()
-        spent.estimate("r", 4.0, 0.0)
-        self.assertGreater(spent.estimate("r", 2.9, 0.0), 0.5)
+        elapsed = ElapsedTimeEstimator()
+        elapsed.estimate("r", 4.0, 0.0)
+        self.assertGreater(elapsed.estimate("r", 2.9, 0.0), 0.5)
 
     def test_routes_are_kept_apart(self):
-        spent = SpentTime()
-        spent.estimate("r", 9.0, 0.0)
-        self.assertEqual(spent.estimate("q", 2.0, 0.0), 0.0)
+        elapsed = ElapsedTimeEstimator()
+        elapsed.estimate("r", 9.0, 0.0)
+        self.assertEqual(elapsed.estimate("q", 2.0, 0.0), 0.0)
 
     def test_a_usual_time_that_is_not_seen_any_more_fades(self):
-        spent = SpentTime()
-        spent.estimate("r", 4.0, 0.0)
+        elapsed = ElapsedTimeEstimator()
+        elapsed.estimate("r", 4.0, 0.0)
         for _ in range(1000):
-            last = spent.estimate("r", 2.0, 0.0)
+            last = elapsed.estimate("r", 2.0, 0.0)
         self.assertEqual(last, 0.0)
 
     def test_a_caller_without_time(self):
-        self.assertEqual(SpentTime().estimate("r", 0.0, 0.0), 0.0)
+        self.assertEqual(ElapsedTimeEstimator().estimate("r", 0.0, 0.0), 0.0)
 
 
 class SpreadTests(unittest.TestCase):
@@ -70,29 +70,29 @@
         self.assertLess(sum(seconds > 0.1 for seconds in taken), 25)
 
     def test_who_waited_longer_than_that_is_still_seen(self):
-        spent, _ = learn(0.85)
-        self.assertGreater(spent.estimate(4.0, 2.8, 0.0), 0.5)
+        elapsed, _ = learn(0.85)
+        self.assertGreater(elapsed.estimate(4.0, 2.8, 0.0), 0.5)
 
     def test_callers_that_come_back_do_not_hide_each_other(self):
-        spent, _ = learn(1.0)
+        elapsed, _ = learn(1.0)
         for _ in range(100):
-            spent.estimate(4.0, 2.0, 0.0)
-        self.assertAlmostEqual(spent.estimate(4.0, 2.0, 0.0), 2.0, delta=0.8)
+            elapsed.estimate(4.0, 2.0, 0.0)
+        self.assertAlmostEqual(elapsed.estimate(4.0, 2.0, 0.0), 2.0, delta=0.8)
 
 
 class TroubleTests(unittest.TestCase):
     """Callers that come back soon, many of them, after a time of refusals."""
 
     def test_nothing_is_learnt_from_them(self):
-        spent, _ = learn(1.0)
+        elapsed, _ = learn(1.0)
         for _ in range(200):
-            spent.note_unserved(10.0)
-            spent.estimate(4.0, 3.4, 11.0)
-        self.assertAlmostEqual(spent.estimate(4.0, 3.4, 11.0), 0.6, delta=0.2)
+            elapsed.record_unserved(10.0)
+            elapsed.estimate(4.0, 3.4, 11.0)
+        self.assertAlmostEqual(elapsed.estimate(4.0, 3.4, 11.0), 0.6, delta=0.2)
 
     def test_it_learns_again_afterwards(self):
-        spent, _ = learn(1.0)
-        spent.note_unserved(10.0)
+        elapsed, _ = learn(1.0)
+        elapsed.record_unserved(10.0)
         for _ in range(200):
-            spent.estimate(4.0, 3.4 + 0.6 * random.random(), 13.0)
-        self.assertLess(spent.estimate(4.0, 3.5, 13.0), 0.2)
+            elapsed.estimate(4.0, 3.4 + 0.6 * random.random(), 13.0)
+        self.assertLess(elapsed.estimate(4.0, 3.5, 13.0), 0.2)
--- a/packages/hingesill-core/hingesill_core/routing/hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/hedging.py
@@ -50,8 +50,8 @@
         typical = self.dispatcher.get_pace(send.ticket.route).typical
         if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
             return compute_last_chance(send, typical)
-        spent = 1 - self.budget.tokens / self.budget.burst
-        return (EARLIEST + (LATEST - EARLIEST) * spent) * typical
+        elapsed = 1 - self.budget.tokens / self.budget.burst
+        return (EARLIEST + (LATEST - EARLIEST) * elapsed) * typical
 
     def start(self, ticket, now):
         """Begin a second send of a request while its first has no answer.
@@ -146,6 +146,6 @@
     """Return the seconds after which a second send can just meet the target."""
     ticket = send.ticket
     waited = send.started - ticket.arrived
-    left = ticket.route.target - ticket.spent - waited
+    left = ticket.route.target - ticket.elapsed - waited
     chance = left - NEEDS * typical
     return chance if chance >= EARLIEST_ASKED * typical else LATEST * typical
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -98,7 +98,7 @@
         return Waiting(
             ticket,
             since=now,
-            late_at=ticket.arrived + self.rules.patience * target - ticket.spent,
+            late_at=ticket.arrived + self.rules.patience * target - ticket.elapsed,
             until=min(ticket.deadline - pace.quick, ticket.arrived + longest),
         )
 
--- a/packages/hingesill-core/hingesill_core/routing/messages.py
+++ b/packages/hingesill-core/hingesill_core/routing/messages.py
@@ -51,7 +51,7 @@
     sends: int = 0
     exposed: bool = False
     waiting: bool = False
-    spent: float = 0.0
+    elapsed: float = 0.0
     barred: bool = False
 
 
--- a/packages/hingesill-core/hingesill_core/routing/tests/playednode.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/playednode.py
@@ -4,8 +4,8 @@
 
 from msgspec import Struct, field
 
+from hingesill_core.limits.elapsedtime import ElapsedTimeEstimator
 from hingesill_core.limits.querybudget import QueryBudget
-from hingesill_core.limits.spent import SpentTime
 from hingesill_core.ratelimits.fleet import FleetLimits
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.fleetview import FleetView
@@ -52,7 +52,7 @@
         self.dispatcher = Dispatcher(
             play.service, fleet, rng, QueryBudget(), limits=limits
         )
-        self.spent = SpentTime()
+        self.elapsed = ElapsedTimeEstimator()
         self.attempts = {}
         self.is_ticking = False
         self.is_alive = True
@@ -67,9 +67,9 @@
         now = self.play.now
         route = request.kind.route
         left = request.deadline - now
-        spent = self.spent.estimate(route, left, now)
+        elapsed = self.elapsed.estimate(route, left, now)
         deadline = now + min(left, route.timeout)
-        ticket = Ticket(route, now, deadline, spent=spent)
+        ticket = Ticket(route, now, deadline, elapsed=elapsed)
         attempt = self.attempts[ticket] = Attempt(request, ticket)
         self.play.after(deadline - now, self._expire, attempt)
         self._act(attempt, self.dispatcher.submit(ticket, now))
@@ -175,14 +175,14 @@
             self._act(attempt, decision)
 
     def _refuse(self, attempt, refusal):
-        self.spent.note_unserved(self.play.now)
+        self.elapsed.record_unserved(self.play.now)
         self._close(attempt)
         self.play.refuse(attempt, refusal)
 
     def _expire(self, attempt):
         """End a try whose time is over."""
         if self.is_alive and attempt.is_open:
-            self.spent.note_unserved(self.play.now)
+            self.elapsed.record_unserved(self.play.now)
             self._close(attempt, SendEnd.LATE)
             self.play.refuse(attempt, None)
 
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_latebinding.py
@@ -128,24 +128,24 @@
         self.assertIsInstance(self.binding.take(reply("i0", 1), 0.3), Send)
 
     def test_a_later_try_counts_as_late(self):
-        self.ticket.spent = 0.3
+        self.ticket.elapsed = 0.3
         self.dispatcher.submit(self.ticket, 0.0)
         self.assertIsNone(self.binding.take(reply("i0", 2), 0.03))
 
     def test_a_late_request_waits_for_what_others_learn(self):
-        self.ticket.spent = 0.3
+        self.ticket.elapsed = 0.3
         self.assertEqual(self.dispatcher.submit(self.ticket, 0.0), LoadQuery(()))
         self.assertIsInstance(self.binding.take(reply("i0", 0), 0.01), Send)
 
     def test_late_requests_alone_ask_seldom(self):
         for _ in range(8):
-            self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0, spent=0.3), 0.0)
+            self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0, elapsed=0.3), 0.0)
         asks = [self.binding.next_query(0.015 * turn) for turn in range(1, 21)]
         asked = sum(len(ask.endpoints) for ask in asks if ask is not None)
         self.assertIn(asked, range(4, 8))
 
     def test_late_requests_take_no_questions_from_those_in_time(self):
-        self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0, spent=0.3), 0.0)
+        self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0, elapsed=0.3), 0.0)
         self.dispatcher.submit(self.ticket, 0.0)
         ask = self.binding.next_query(0.015)
         self.assertEqual(len(ask.endpoints), QueryRules().at_once)
--- a/packages/hingesill-node/hingesill_node/datapath/application.py
+++ b/packages/hingesill-node/hingesill_node/datapath/application.py
@@ -3,7 +3,7 @@
 import random
 import time
 
-from hingesill_core.limits.spent import SpentTime
+from hingesill_core.limits.elapsedtime import ElapsedTimeEstimator
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.routing.messages import Refusal, Ticket
 from hingesill_node.blackboard import Phase
@@ -63,7 +63,7 @@
         self.request_drops = HOP_BY_HOP | self.wire.request_drops
         self.answer_drops = HOP_BY_HOP | self.wire.answer_drops
         self.rng = random.Random()
-        self.spent = SpentTime()
+        self.elapsed = ElapsedTimeEstimator()
         self.clock = clock
 
     def __call__(self, environ, start_response):
@@ -116,7 +116,7 @@
             version=self.blackboard.configuration.revision,
             ms=round(seconds * 1000),
             left_ms=round((ticket.deadline - ticket.arrived) * 1000),
-            spent_ms=round(ticket.spent * 1000),
+            spent_ms=round(ticket.elapsed * 1000),
             outcome=answer.outcome.value if refused else answer.status,
             reason=answer.reason.value if refused else "",
             sends=ticket.sends,
@@ -154,7 +154,9 @@
             arrived,
             arrived + limit,
             may_retry=self.wire.may_retry(environ),
-            spent=0.0 if left is None else self.spent.estimate(route, left, arrived),
+            elapsed=(
+                0.0 if left is None else self.elapsed.estimate(route, left, arrived)
+            ),
         )
         return CallerRequest(
             request_id,
@@ -232,7 +234,7 @@
         self.counters.add("refusals", service, refusal.reason.value)
         self.counters.add("requests", service, refusal.outcome.value)
         if service and refusal.reason is not RefusalReason.QUARANTINED:
-            self.spent.note_unserved(self.clock())
+            self.elapsed.record_unserved(self.clock())
         answer = self.wire.build_refusal_answer(refusal, request_id)
         if answer.closes:
             close_after_answer(environ)
