--- a/matrix/mutant.py
+++ b/matrix/mutant.py
@@ -33,7 +33,7 @@
 @MUTATIONS.register("repeats moves")
 def repeat_moves():
     """Send a request again whether it may be repeated or not."""
-    decision.find_denial = lambda ticket, end, now, quick: (
+    decision.find_denial = lambda ticket, end, now, p10: (
         None if ticket.sends < 3 else decision.RetryReason.DENIED_BUDGET
     )
 
--- a/packages/hingesill-core/hingesill_core/limits/turnover.py
+++ b/packages/hingesill-core/hingesill_core/limits/dequeueinterval.py
@@ -2,13 +2,13 @@
 
 from msgspec import Struct
 
-__all__ = ["Turnover"]
+__all__ = ["DequeueInterval"]
 
 # Of the newest interval in the mean, so that some ten sends count.
 WEIGHT = 0.1
 
 
-class Turnover(Struct):
+class DequeueInterval(Struct):
     """The pace at which waiting requests of a service are sent.
 
     Attributes
--- a/packages/hingesill-core/hingesill_core/limits/admission.py
+++ b/packages/hingesill-core/hingesill_core/limits/latency.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-__all__ = ["Pace"]
+__all__ = ["LatencyEstimate"]
 
 PACE_WEIGHT = 0.05
 INITIAL_PACE = 0.005
@@ -11,7 +11,7 @@
 LONGEST_RETRY_AFTER = 5.0
 
 
-class Pace(Struct):
+class LatencyEstimate(Struct):
     """How long the answers of a route or a service take, in seconds.
 
     Attributes
@@ -24,8 +24,8 @@
         quick answer would be too late.
     """
 
-    typical: float = INITIAL_PACE
-    quick: float = INITIAL_PACE / 2
+    median: float = INITIAL_PACE
+    p10: float = INITIAL_PACE / 2
     answers: int = 0
 
     def note(self, seconds, load=1.0):
@@ -40,17 +40,17 @@
         """
         self.answers += 1
         if self.answers == 1:
-            self.typical = seconds
-            self.quick = seconds / 2
+            self.median = seconds
+            self.p10 = seconds / 2
         self._follow_median(seconds / load)
-        step = PACE_WEIGHT * self.typical
-        self.quick += step * (0.1 if seconds > self.quick else -0.9)
-        self.quick = max(self.quick, 0.0)
+        step = PACE_WEIGHT * self.median
+        self.p10 += step * (0.1 if seconds > self.p10 else -0.9)
+        self.p10 = max(self.p10, 0.0)
 
     def _follow_median(self, seconds):
-        step = PACE_WEIGHT * self.typical
-        self.typical += step if seconds > self.typical else -step
-        self.typical = max(self.typical, SHORTEST_TYPICAL)
+        step = PACE_WEIGHT * self.median
+        self.median += step if seconds > self.median else -step
+        self.median = max(self.median, SHORTEST_TYPICAL)
 
     def estimate_queue_time(self, ahead, places):
         """Return how long a new ticket would wait.
@@ -64,9 +64,9 @@
         """
         if places <= 0:
             return LONGEST_RETRY_AFTER
-        return (ahead + 1) * self.typical / places
+        return (ahead + 1) * self.median / places
 
-    def suggest_return(self, wait, rng):
+    def suggest_retry_after(self, wait, rng):
         """Return the seconds after which to come back, spread at random."""
         base = min(LONGEST_RETRY_AFTER, max(SHORTEST_RETRY_AFTER, wait))
         return base * (1 + rng.random())
--- a/packages/hingesill-core/hingesill_core/limits/queue.py
+++ b/packages/hingesill-core/hingesill_core/limits/queue.py
@@ -42,7 +42,7 @@
         line.pop(ticket, None)
         ticket.waiting = False
 
-    def displace(self):
+    def evict_deferrable(self):
         """Take out the newest deferrable ticket and return it, or None."""
         if not self._deferrable:
             return None
--- a/packages/hingesill-core/hingesill_core/retries/decision.py
+++ b/packages/hingesill-core/hingesill_core/retries/decision.py
@@ -35,7 +35,7 @@
         ticket.exposed = True
 
 
-def judge_retry(ticket, end, budget, now, quick):
+def judge_retry(ticket, end, budget, now, p10):
     """Decide whether a request may be sent once more.
 
     Parameters
@@ -54,7 +54,7 @@
     RetryReason or Denied
         Why it is sent again, or why it is not.
     """
-    denial = find_denial(ticket, end, now, quick)
+    denial = find_denial(ticket, end, now, p10)
     if denial is not None:
         return Denied(denial)
     # Another endpoint gets what this one did not: that is no extra request.
@@ -63,7 +63,7 @@
     return RETRY_REASONS[end]
 
 
-def find_denial(ticket, end, now, quick):
+def find_denial(ticket, end, now, p10):
     """Return the rule that forbids another send, or None."""
     if ticket.barred:
         return RetryReason.DENIED_ENDINGS
@@ -75,7 +75,7 @@
         return RetryReason.DENIED_LAYER
     if ticket.sends >= ticket.route.most_sends:
         return RetryReason.DENIED_BUDGET
-    if now + quick > ticket.deadline:
+    if now + p10 > ticket.deadline:
         return RetryReason.DENIED_TIME
     return None
 
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -1,6 +1,6 @@
 """One service at one node: from a request to an endpoint, and what it learns."""
 
-from hingesill_core.limits.admission import Pace
+from hingesill_core.limits.latency import LatencyEstimate
 from hingesill_core.limits.querybudget import QueryBudget
 from hingesill_core.limits.queue import RequestQueue
 from hingesill_core.limits.shares import compute_send_limit
@@ -14,7 +14,7 @@
 from hingesill_core.routing.latebinding import LateBinding
 from hingesill_core.routing.limitedrequests import LimitedRequests
 from hingesill_core.routing.loadqueries import FRESH_REPORT_POLICY
-from hingesill_core.routing.messages import Hold, Refusal, Send, SendEnd
+from hingesill_core.routing.messages import Queued, Refusal, Send, SendEnd
 from hingesill_core.routing.openings import Openings
 from hingesill_core.routing.policies import POLICIES
 from hingesill_core.routing.retrying import Retrying
@@ -63,7 +63,7 @@
         self.last_submit = float("-inf")
         self.queue = RequestQueue(service.queue_limit)
         self._displaced = []
-        self.pace = Pace()
+        self.pace = LatencyEstimate()
         self.paces = {}
         self.hedging = Hedging(self, service.sends.hedge_share)
         self.retries = TokenBudget(service.sends.retry_share)
@@ -144,11 +144,11 @@
         if named is not None:
             self.limits.note(send.endpoint, send.born, named, send.started, now)
 
-    def get_pace(self, route):
+    def get_latency(self, route):
         """Return how long the answers of a route take."""
         pace = self.paces.get(route)
         if pace is None:
-            pace = self.paces[route] = Pace()
+            pace = self.paces[route] = LatencyEstimate()
         return pace
 
     def submit(self, ticket, now):
@@ -179,9 +179,9 @@
             send = self.assign(ticket, now)
             if send is not None:
                 return send
-        return self.hold_or_refuse(ticket, now)
+        return self.queue_or_refuse(ticket, now)
 
-    def hold_or_refuse(self, ticket, now):
+    def queue_or_refuse(self, ticket, now):
         """Return Hold if a request can wait and still be in time, else its Refusal."""
         if not self.has_takers(ticket.route, now):
             return self.refuse(ticket, RefusalReason.NO_ENDPOINT, now)
@@ -192,18 +192,18 @@
             return self.refuse(ticket, RefusalReason.ENDPOINTS_LIMITED, now)
         ahead = self.queue.count_ahead(ticket)
         wait = self.pace.estimate_queue_time(ahead, self.places)
-        if now + wait + self.get_pace(ticket.route).quick > ticket.deadline:
+        if now + wait + self.get_latency(ticket.route).p10 > ticket.deadline:
             return self.refuse(ticket, RefusalReason.DEADLINE_UNREACHABLE, now)
         if not self._make_room(ticket):
             return self.refuse(ticket, RefusalReason.QUEUE_FULL, now)
         self.queue.add(ticket)
-        return Hold()
+        return Queued()
 
     def _make_room(self, ticket):
         """Tell whether the queue can take a ticket; a live one displaces others."""
         if len(self.queue) < self.queue.limit:
             return True
-        displaced = self.queue.displace() if ticket.route.live else None
+        displaced = self.queue.evict_deferrable() if ticket.route.live else None
         if displaced is None:
             return False
         self._displaced.append(displaced)
@@ -214,18 +214,20 @@
         outcome = Outcome.UNKNOWN if ticket.exposed else Outcome.NOT_RUN
         if reason is RefusalReason.ENDPOINTS_LIMITED:
             wait = self.limits.grant_client.get_wait(now)
-            return Refusal(reason, outcome, self.pace.suggest_return(wait, self.rng))
-        return Refusal(reason, outcome, self.suggest_return(ticket.route, now))
+            return Refusal(
+                reason, outcome, self.pace.suggest_retry_after(wait, self.rng)
+            )
+        return Refusal(reason, outcome, self.suggest_retry_after(ticket.route, now))
 
-    def suggest_return(self, route, now):
+    def suggest_retry_after(self, route, now):
         """Return the seconds after which a caller finds room, as far as known."""
-        rest = self.openings.suggest_return(route, now)
+        rest = self.openings.suggest_retry_after(route, now)
         if rest is not None:
             return rest
         wait = self.binding.estimate_wait(now)
         if not wait:
             wait = self.pace.estimate_queue_time(len(self.queue), self.places)
-        return self.pace.suggest_return(wait, self.rng)
+        return self.pace.suggest_retry_after(wait, self.rng)
 
     def has_takers(self, route, now):
         """Tell whether any endpoint takes a route's new work, busy or not."""
@@ -258,7 +260,7 @@
     def start_send(self, ticket, state, now, hedge=False):
         """Return a Send to an endpoint, with all that is noted of it."""
         load = state.predict_load(now)
-        expected = load * self.get_pace(ticket.route).typical
+        expected = load * self.get_latency(ticket.route).median
         send = Send(ticket, state.identity, now, expected, load, hedge, born=state.born)
         state.begin(send, now)
         ticket.sends += 1
@@ -308,7 +310,7 @@
         """Return the Refusal of a held request that cannot be served, or None."""
         if not self.has_takers(ticket.route, now):
             return self.refuse(ticket, RefusalReason.NO_ENDPOINT, now)
-        if now + self.get_pace(ticket.route).quick > ticket.deadline:
+        if now + self.get_latency(ticket.route).p10 > ticket.deadline:
             return self.refuse(ticket, RefusalReason.DEADLINE_UNREACHABLE, now)
         return self.openings.find_refusal(ticket, now)
 
@@ -355,10 +357,10 @@
         if result.end is not SendEnd.ANSWERED:
             return
         route = send.ticket.route
-        self.get_pace(route).note(seconds, send.load)
+        self.get_latency(route).note(seconds, send.load)
         if route.live:
             self.pace.note(seconds)
-            away = OTHER_DATA_CENTRE / self.pace.typical
+            away = OTHER_DATA_CENTRE / self.pace.median
             for state in self.states.values():
                 state.distance = 0.0 if state.is_near else away
 
--- a/packages/hingesill-core/hingesill_core/routing/hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/hedging.py
@@ -47,11 +47,11 @@
         shortens the tail. Where endpoints are asked, it goes to answers that are
         about to miss their target, as late as a second send still helps.
         """
-        typical = self.dispatcher.get_pace(send.ticket.route).typical
+        median = self.dispatcher.get_latency(send.ticket.route).median
         if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
-            return compute_last_chance(send, typical)
+            return compute_last_chance(send, median)
         elapsed = 1 - self.budget.tokens / self.budget.burst
-        return (EARLIEST + (LATEST - EARLIEST) * elapsed) * typical
+        return (EARLIEST + (LATEST - EARLIEST) * elapsed) * median
 
     def start(self, ticket, now):
         """Begin a second send of a request while its first has no answer.
@@ -101,8 +101,8 @@
             return RetryReason.DENIED_NOT_REPEATABLE
         if not ticket.may_retry:
             return RetryReason.DENIED_LAYER
-        quick = self.dispatcher.get_pace(ticket.route).quick
-        return RetryReason.DENIED_TIME if now + quick > ticket.deadline else None
+        p10 = self.dispatcher.get_latency(ticket.route).p10
+        return RetryReason.DENIED_TIME if now + p10 > ticket.deadline else None
 
     def _send(self, ticket, now):
         """Return a Send by what is known already, or Denied."""
@@ -142,10 +142,10 @@
         self.dispatcher.retries.give_back()
 
 
-def compute_last_chance(send, typical):
+def compute_last_chance(send, median):
     """Return the seconds after which a second send can just meet the target."""
     ticket = send.ticket
     waited = send.started - ticket.arrived
     left = ticket.route.target - ticket.elapsed - waited
-    chance = left - NEEDS * typical
-    return chance if chance >= EARLIEST_ASKED * typical else LATEST * typical
+    chance = left - NEEDS * median
+    return chance if chance >= EARLIEST_ASKED * median else LATEST * median
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -2,8 +2,8 @@
 
 from msgspec.structs import replace
 
+from hingesill_core.limits.dequeueinterval import DequeueInterval
 from hingesill_core.limits.querybudget import QueryBudget
-from hingesill_core.limits.turnover import Turnover
 from hingesill_core.reasons import RefusalReason
 from hingesill_core.routing.limitedwaiting import LimitedWaiting
 from hingesill_core.routing.loadqueries import (
@@ -46,7 +46,7 @@
         self.budget = QueryBudget()
         self.slots = SlotKnowledge(curves)
         self.selection = EndpointSelection(dispatcher, self.rules)
-        self.turnover = Turnover()
+        self.dequeue_interval = DequeueInterval()
         self.warm_up = WarmUpLimit()
         self.unhealthy_reports = UnhealthyReports()
         self.has_reports = True
@@ -80,7 +80,7 @@
         if len(self.waiting) >= self.dispatcher.service.queue_limit:
             return self.dispatcher.refuse(ticket, RefusalReason.QUEUE_FULL, now)
         if not self._count_waiting():
-            self.turnover.begin(now)
+            self.dequeue_interval.begin(now)
         waiting = self.waiting[ticket] = self._build_waiting(ticket, now)
         if self.limits.limited and not self.limited.admit(ticket, now):
             self.waiting.pop(ticket)
@@ -92,14 +92,14 @@
         )
 
     def _build_waiting(self, ticket, now):
-        pace = self.dispatcher.get_pace(ticket.route)
+        pace = self.dispatcher.get_latency(ticket.route)
         target = ticket.route.target or self.rules.default_target
         longest = self.rules.longest_wait * (ticket.deadline - ticket.arrived)
         return Waiting(
             ticket,
             since=now,
             late_at=ticket.arrived + self.rules.patience * target - ticket.elapsed,
-            until=min(ticket.deadline - pace.quick, ticket.arrived + longest),
+            until=min(ticket.deadline - pace.p10, ticket.arrived + longest),
         )
 
     def enter_hedge(self, ticket, now):
@@ -129,7 +129,7 @@
 
     def estimate_wait(self, now):
         """Return the seconds that a request which came now would wait."""
-        return self.turnover.estimate(self._count_waiting(), now)
+        return self.dequeue_interval.estimate(self._count_waiting(), now)
 
     def _count_waiting(self):
         """Return how many requests wait that have no endpoint at all."""
@@ -205,7 +205,7 @@
         first = min(fitting, key=lambda waiting: waiting.get_order(now))
         self.waiting.pop(first.ticket)
         if not first.hedge:
-            self.turnover.note(now)
+            self.dequeue_interval.note(now)
         send = self.dispatcher.start_send(first.ticket, state, now, first.hedge)
         send.occupied = 0 if is_cold else running + 1
         return send
--- a/packages/hingesill-core/hingesill_core/routing/messages.py
+++ b/packages/hingesill-core/hingesill_core/routing/messages.py
@@ -12,7 +12,7 @@
 
 __all__ = [
     "Denied",
-    "Hold",
+    "Queued",
     "Refusal",
     "Send",
     "SendEnd",
@@ -89,7 +89,7 @@
     born: int = 0
 
 
-class Hold(Struct, frozen=True):
+class Queued(Struct, frozen=True):
     """Hold the request: a later ``pump`` or ``expire`` names it."""
 
 
--- a/packages/hingesill-core/hingesill_core/routing/openings.py
+++ b/packages/hingesill-core/hingesill_core/routing/openings.py
@@ -116,7 +116,7 @@
             reason = RefusalReason.ENDPOINTS_RESTING
         return self._dispatcher.refuse(ticket, reason, now)
 
-    def suggest_return(self, route, now):
+    def suggest_retry_after(self, route, now):
         """Return the Retry-After in seconds if all endpoints rest, else None."""
         wait = self.get_wait(route, now)
         if wait <= PATIENCE_SECONDS or not isfinite(wait):
--- a/packages/hingesill-core/hingesill_core/routing/retrying.py
+++ b/packages/hingesill-core/hingesill_core/routing/retrying.py
@@ -31,8 +31,8 @@
             The Ask, Send, Hold or Refusal to act on, and the RetryReason that is
             counted, which is a ``DENIED`` one with a Refusal.
         """
-        quick = self._dispatcher.get_pace(ticket.route).quick
-        verdict = judge_retry(ticket, end, self._dispatcher.retries, now, quick)
+        p10 = self._dispatcher.get_latency(ticket.route).p10
+        verdict = judge_retry(ticket, end, self._dispatcher.retries, now, p10)
         if isinstance(verdict, Denied):
             return self._give_up(ticket, end, now), verdict.reason
         ask = self._dispatcher.begin_queries(ticket, now)
@@ -43,7 +43,7 @@
         send = self._dispatcher.assign(ticket, now)
         if send is not None:
             return send, verdict
-        decision = self._dispatcher.hold_or_refuse(ticket, now)
+        decision = self._dispatcher.queue_or_refuse(ticket, now)
         if isinstance(decision, Refusal):
             return self._find_no_endpoint(ticket, end, now)
         return decision, verdict
@@ -55,11 +55,11 @@
         return self._give_up(ticket, end, now), RetryReason.DENIED_NO_ENDPOINT
 
     def _give_up(self, ticket, end, now):
-        after = self._dispatcher.openings.suggest_return(ticket.route, now)
+        after = self._dispatcher.openings.suggest_retry_after(ticket.route, now)
         if after is None and self._is_by_chance(end):
             after = self._suggest_other_node()
         if after is None:
-            after = self._dispatcher.suggest_return(ticket.route, now)
+            after = self._dispatcher.suggest_retry_after(ticket.route, now)
         return classify_refusal(ticket, end, after)
 
     def _is_by_chance(self, end):
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
@@ -13,7 +13,7 @@
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.messages import (
     Denied,
-    Hold,
+    Queued,
     Refusal,
     Send,
     SendEnd,
@@ -101,8 +101,8 @@
         self.make(queue_limit=2)
         self.fill(self.read)
         held, decision = self.ask(self.export)
-        self.assertIsInstance(decision, Hold)
-        self.assertIsInstance(self.ask(self.read)[1], Hold)
+        self.assertIsInstance(decision, Queued)
+        self.assertIsInstance(self.ask(self.read)[1], Queued)
         [(ticket, refusal)] = self.dispatcher.expire(0.0)
         self.assertIs(ticket, held)
         self.assertIs(refusal.reason, RefusalReason.DISPLACED)
@@ -261,7 +261,7 @@
             assert state.in_flight <= state.send_limit
             assert ticket.route.repeatable or not self.maybe_run.get(ticket)
             self.live.append(decision)
-        elif isinstance(decision, Hold):
+        elif isinstance(decision, Queued):
             self.held.append(ticket)
         elif decision.outcome is Outcome.NOT_RUN:
             assert not self.maybe_run.get(ticket)
@@ -286,7 +286,7 @@
         decision, reason = self.dispatcher.retry(ticket, end, self.now)
         # What follows a send that did not reach its endpoint takes that one's place.
         is_extra = end is not SendEnd.NOT_SENT
-        self.extra_sends += is_extra and isinstance(decision, (Send, Hold))
+        self.extra_sends += is_extra and isinstance(decision, (Send, Queued))
         self.take(ticket, decision)
 
     @precondition(lambda self: self.live)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_hedging.py
@@ -72,10 +72,10 @@
         self.assertEqual(self.dispatcher.retries.tokens, tokens)
 
     def test_a_hedge_waits_as_long_as_it_can_still_be_in_time(self):
-        pace = self.dispatcher.get_pace(ROUTE)
-        pace.typical = 0.08
+        pace = self.dispatcher.get_latency(ROUTE)
+        pace.median = 0.08
         at_once = self.dispatcher.hedging.get_overdue_time(self.first)
         self.assertAlmostEqual(at_once, 0.25 - 0.01 - 1.25 * 0.08)
-        pace.typical = 0.2
+        pace.median = 0.2
         late = self.dispatcher.hedging.get_overdue_time(self.first)
         self.assertGreater(late, 0.8)
--- a/packages/hingesill-node/hingesill_node/datapath/exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/exchange.py
@@ -11,7 +11,7 @@
 from hingesill_core.routing.loadqueries import LoadQuery
 from hingesill_core.routing.messages import (
     Denied,
-    Hold,
+    Queued,
     Refusal,
     SendEnd,
     SendResult,
@@ -80,7 +80,7 @@
             while True:
                 if isinstance(decision, LoadQuery):
                     decision = self._wait_for_reply(decision)
-                elif isinstance(decision, Hold):
+                elif isinstance(decision, Queued):
                     self._tell(StepKind.HELD)
                     decision = self.runner.wait_held(self.request)
                 elif isinstance(decision, Refusal):
--- a/packages/hingesill-node/hingesill_node/explanation.py
+++ b/packages/hingesill-node/hingesill_node/explanation.py
@@ -48,7 +48,7 @@
                 endpoint=state.identity,
                 eligible=not reason,
                 reason=reason,
-                score_ms=state.estimate_wait(now) * dispatcher.pace.typical * 1000,
+                score_ms=state.estimate_wait(now) * dispatcher.pace.median * 1000,
                 in_flight=state.in_flight,
                 reported_load=state.estimate_others(now),
             )
