--- a/bench/probe_cost.py
+++ b/bench/probe_cost.py
@@ -10,7 +10,7 @@
 import yaml
 
 from bench.worker import start_workers
-from hingesill_core.probing.share import SHARE_TTL
+from hingesill_core.probing.probeshare import PROBE_SHARE_TTL_SECONDS
 from standins.fleet import Fleet
 
 __all__ = ["run"]
@@ -92,14 +92,14 @@
         node.process.send_signal(signal.SIGSTOP)
     for node in frozen:
         fleet.nodes.pop(node.name)
-    load(CALM_RATE, SHARE_TTL + 6.0)
+    load(CALM_RATE, PROBE_SHARE_TTL_SECONDS + 6.0)
     for node in frozen:
         node.process.send_signal(signal.SIGCONT)
         fleet.nodes[node.name] = node
     load(CALM_RATE, 8.0)
     phases["store outage"] = time.monotonic()
     fleet.set_store_faults(down=True)
-    load(CALM_RATE, SHARE_TTL + 8.0)
+    load(CALM_RATE, PROBE_SHARE_TTL_SECONDS + 8.0)
     fleet.set_store_faults()
     phases["store back"] = time.monotonic()
     load(CALM_RATE, 14.0)
--- a/matrix/mutant.py
+++ b/matrix/mutant.py
@@ -11,8 +11,8 @@
 import fire
 
 from hingesill_core.configuration.changelog import Accepted, ChangeLog
-from hingesill_core.probing import pace
-from hingesill_core.probing.share import Share
+from hingesill_core.probing import proberate
+from hingesill_core.probing.probeshare import ProbeShare
 from hingesill_core.registry import Registry
 from hingesill_core.retries import decision
 from hingesill_core.routing import dispatcher
@@ -98,17 +98,19 @@
 @MUTATIONS.register("probes without pace")
 def probe_without_pace():
     """Probe all the time, without a share and without spacing."""
-    pace.ProbePacer.take = lambda self, share, a_pace, now: True
-    prober.choose_probe = lambda a_dispatcher, now: next(iter(a_dispatcher.states))
+    proberate.ProbeRateLimiter.take = lambda self, share, a_pace, now: True
+    prober.choose_probe_target = lambda a_dispatcher, now: next(
+        iter(a_dispatcher.states)
+    )
 
     def run_freely(self):
-        self.blackboard.probe_share = Share(0, "none", float("inf"), 0.0)
+        self.blackboard.probe_share = ProbeShare(0, "none", float("inf"), 0.0)
         while True:
             eventlet.sleep(PROBE_SECONDS)
             self._probe_services()
 
     prober.Prober._is_due = lambda self, name, a_pace: bool(
-        self._pacers.setdefault(name, pace.ProbePacer())
+        self._pacers.setdefault(name, proberate.ProbeRateLimiter())
     )
     prober.Prober.run = run_freely
 
--- a/packages/hingesill-core/hingesill_core/probing/pace.py
+++ b/packages/hingesill-core/hingesill_core/probing/proberate.py
@@ -4,14 +4,14 @@
 
 from msgspec import Struct
 
-from hingesill_core.probing.share import SHARE_TTL, SHARES
+from hingesill_core.probing.probeshare import PROBE_SHARE_TTL_SECONDS, PROBE_SHARES
 
-__all__ = ["ProbePace", "ProbePacer", "compute_pace"]
+__all__ = ["ProbeRate", "ProbeRateLimiter", "compute_probe_rate"]
 
 FEWEST_A_SHARE = 3
 
 
-class ProbePace(Struct, frozen=True):
+class ProbeRate(Struct, frozen=True):
     """A service's probes, as a share of the budget.
 
     Parameters
@@ -26,7 +26,7 @@
     interval: float
 
 
-def compute_pace(budget, slots):
+def compute_probe_rate(budget, slots):
     """Return the pace of a service, or None if its budget allows no probe.
 
     Parameters
@@ -47,16 +47,16 @@
     """
     rate = min(budget.per_second, budget.capacity_share * slots / budget.cost)
     allowed = floor(rate * budget.window)
-    late = floor(budget.window / SHARE_TTL) + 1
+    late = floor(budget.window / PROBE_SHARE_TTL_SECONDS) + 1
     least = FEWEST_A_SHARE + late
-    shares = min(SHARES, allowed // least)
+    shares = min(PROBE_SHARES, allowed // least)
     if shares == 0:
         return None
     a_share = allowed // shares
-    return ProbePace(shares, budget.window / (a_share - 1 - late))
+    return ProbeRate(shares, budget.window / (a_share - 1 - late))
 
 
-class ProbePacer(Struct):
+class ProbeRateLimiter(Struct):
     """Spaces one share's probes of one service.
 
     Attributes
--- a/packages/hingesill-core/hingesill_core/probing/share.py
+++ b/packages/hingesill-core/hingesill_core/probing/probeshare.py
@@ -7,15 +7,15 @@
 
 from msgspec import Struct
 
-__all__ = ["SHARES", "SHARE_TTL", "Share"]
+__all__ = ["PROBE_SHARES", "PROBE_SHARE_TTL_SECONDS", "ProbeShare"]
 
-SHARES = 6
-SHARE_TTL = 15.0
+PROBE_SHARES = 6
+PROBE_SHARE_TTL_SECONDS = 15.0
 MARGIN = 1.0
 DRIFT = 0.01
 
 
-class Share(Struct):
+class ProbeShare(Struct):
     """One share as its holder sees it; times in seconds of the lease clock.
 
     Parameters
--- a/packages/hingesill-core/hingesill_core/probing/planner.py
+++ b/packages/hingesill-core/hingesill_core/probing/probetarget.py
@@ -2,13 +2,13 @@
 
 from hingesill_core.routing.selection import takes_work
 
-__all__ = ["choose_probe"]
+__all__ = ["choose_probe_target"]
 
 UNHEARD_SECONDS = 2.0
 BUSY_SECONDS = 5.0
 
 
-def choose_probe(dispatcher, now):
+def choose_probe_target(dispatcher, now):
     """Return the address that is most worth a probe, or None.
 
     Parameters
--- a/packages/hingesill-core/hingesill_core/probing/tests/test_planner.py
+++ b/packages/hingesill-core/hingesill_core/probing/tests/test_probetarget.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from hingesill_core.probing.planner import choose_probe
+from hingesill_core.probing.probetarget import choose_probe_target
 from hingesill_core.routing.availability import NO_REST, RequestedRest
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.messages import Ticket
@@ -21,7 +21,7 @@
         route = self.dispatcher.service.routes[0]
         send = self.dispatcher.submit(Ticket(route, now, now + 1.0), now)
         self.dispatcher.find_state(send).finish(send)
-        return choose_probe(self.dispatcher, now)
+        return choose_probe_target(self.dispatcher, now)
 
     def note(self, rest, leaving, now):
         for address in ADDRESSES[1:]:
--- a/packages/hingesill-node/hingesill_node/blackboard.py
+++ b/packages/hingesill-node/hingesill_node/blackboard.py
@@ -11,7 +11,7 @@
 
 from hingesill_core.configuration.route_table import RouteTable
 from hingesill_core.discovery.records import Limits
-from hingesill_core.probing.share import Share
+from hingesill_core.probing.probeshare import ProbeShare
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.profile import Profile
 
@@ -63,7 +63,7 @@
     configuration: Configuration = field(default_factory=Configuration)
     signs: dict = field(default_factory=dict)
     peers: tuple = ()
-    probe_share: Share | None = None
+    probe_share: ProbeShare | None = None
     profile: Profile = field(default_factory=Profile)
     phase: Phase = Phase.STARTING
     in_flight: int = 0
--- a/packages/hingesill-node/hingesill_node/control/probeshares.py
+++ b/packages/hingesill-node/hingesill_node/control/probeshares.py
@@ -4,7 +4,11 @@
 import random
 
 from hingesill_core.membership.relaytree import rank_by_weight
-from hingesill_core.probing.share import SHARE_TTL, SHARES, Share
+from hingesill_core.probing.probeshare import (
+    PROBE_SHARE_TTL_SECONDS,
+    PROBE_SHARES,
+    ProbeShare,
+)
 from hingesill_core.store import Held, LeaseLost
 from hingesill_node.clocks import read_boot_time
 from hingesill_node.telemetry.events import Event, log_event
@@ -12,7 +16,7 @@
 __all__ = ["ProbeShares"]
 
 CANDIDATES = 2
-RENEW_SECONDS = SHARE_TTL / 3
+RENEW_SECONDS = PROBE_SHARE_TTL_SECONDS / 3
 TRY_SECONDS = 5.0
 
 
@@ -57,7 +61,7 @@
         if not self.state.is_store_available:
             return
         usable = self.state.membership.list_usable(self.state.clock())
-        for number in range(SHARES):
+        for number in range(PROBE_SHARES):
             ranked = rank_by_weight(usable, f"probe-share-{number}")
             if self.state.own.name not in [vm.name for vm in ranked[:CANDIDATES]]:
                 continue
@@ -68,10 +72,12 @@
         asked_at = read_boot_time()
         key = f"{self.team}/probe-share/{number}"
         name = self.state.own.name
-        answer = await self.store_calls.run(self.store.acquire, key, name, SHARE_TTL)
+        answer = await self.store_calls.run(
+            self.store.acquire, key, name, PROBE_SHARE_TTL_SECONDS
+        )
         if not isinstance(answer, Held):
             return False
-        self.share = Share.acquire(number, answer.lease, answer.ttl, asked_at)
+        self.share = ProbeShare.acquire(number, answer.lease, answer.ttl, asked_at)
         log_event(Event.PROBE_SHARE_HELD, share=number)
         self.publish(self.share)
         return True
@@ -79,7 +85,9 @@
     async def _renew(self):
         asked_at = read_boot_time()
         share = self.share
-        answer = await self.store_calls.run(self.store.renew, share.lease, SHARE_TTL)
+        answer = await self.store_calls.run(
+            self.store.renew, share.lease, PROBE_SHARE_TTL_SECONDS
+        )
         if isinstance(answer, Held):
             share.renew(answer.ttl, asked_at)
             self.publish(share)
--- a/packages/hingesill-node/hingesill_node/datapath/prober.py
+++ b/packages/hingesill-node/hingesill_node/datapath/prober.py
@@ -2,8 +2,8 @@
 
 import eventlet
 
-from hingesill_core.probing.pace import ProbePacer, compute_pace
-from hingesill_core.probing.planner import choose_probe
+from hingesill_core.probing.proberate import ProbeRateLimiter, compute_probe_rate
+from hingesill_core.probing.probetarget import choose_probe_target
 from hingesill_core.routing.messages import SendEnd, SendResult
 from hingesill_node.clocks import read_boot_time
 from hingesill_node.datapath.connections import ConnectFailed, EndpointConnection
@@ -48,16 +48,16 @@
         for name, runner in list(self.runners.runners.items()):
             service = runner.dispatcher.service
             slots = sum(endpoint.slots for endpoint in service.endpoints)
-            pace = compute_pace(service.probes, slots)
+            pace = compute_probe_rate(service.probes, slots)
             if pace is None:
                 continue
-            address = choose_probe(runner.dispatcher, runner.clock())
+            address = choose_probe_target(runner.dispatcher, runner.clock())
             if address is not None and self._is_due(name, pace):
                 eventlet.spawn(self._probe, name, runner, address, pace)
 
     def _is_due(self, name, pace):
         """Tell whether a probe is likely to be allowed, before connecting."""
-        pacer = self._pacers.setdefault(name, ProbePacer())
+        pacer = self._pacers.setdefault(name, ProbeRateLimiter())
         share = self.blackboard.probe_share
         now = read_boot_time()
         return now >= max(pacer.next_at, share.acquired_at + pace.interval)
