--- a/matrix/mutant.py
+++ b/matrix/mutant.py
@@ -41,7 +41,7 @@
 @MUTATIONS.register("lies about not run")
 def lie_not_run():
     """Never note that an endpoint may have run a request."""
-    dispatcher.mark_exposure = lambda ticket, end: None
+    dispatcher.mark_may_have_run = lambda ticket, end: None
 
 
 @MUTATIONS.register("mixes answers")
--- a/packages/hingesill-core/hingesill_core/retries/budget.py
+++ b/packages/hingesill-core/hingesill_core/retries/budget.py
@@ -49,6 +49,6 @@
         self.tokens -= 1.0
         return True
 
-    def give_back(self):
+    def refund(self):
         """Return a token whose send did not come about."""
         self.tokens = min(self.burst, self.tokens + 1.0)
--- a/packages/hingesill-core/hingesill_core/retries/decision.py
+++ b/packages/hingesill-core/hingesill_core/retries/decision.py
@@ -1,48 +1,48 @@
 """What follows the end of a send: another send or the final answer."""
 
 from hingesill_core.reasons import Outcome, RefusalReason, RetryReason
-from hingesill_core.routing.messages import Denied, Refusal, SendEnd
+from hingesill_core.routing.messages import Refusal, RetryDenied, SendStatus
 
-__all__ = ["NOT_ARRIVED", "classify_refusal", "judge_retry", "mark_exposure"]
+__all__ = ["NOT_EXECUTED", "classify_refusal", "decide_retry", "mark_may_have_run"]
 
 RETRY_REASONS = {
-    SendEnd.CONNECT_FAILED: RetryReason.CONNECT_FAILED,
-    SendEnd.NOT_SENT: RetryReason.NOT_SENT,
-    SendEnd.REFUSED: RetryReason.ENDPOINT_REFUSED,
-    SendEnd.LOST: RetryReason.ANSWER_LOST,
-    SendEnd.LATE: RetryReason.ANSWER_LOST,
-    SendEnd.FAULT: RetryReason.ENDPOINT_FAULT,
+    SendStatus.CONNECT_FAILED: RetryReason.CONNECT_FAILED,
+    SendStatus.NOT_SENT: RetryReason.NOT_SENT,
+    SendStatus.REFUSED: RetryReason.ENDPOINT_REFUSED,
+    SendStatus.LOST: RetryReason.ANSWER_LOST,
+    SendStatus.LATE: RetryReason.ANSWER_LOST,
+    SendStatus.FAULT: RetryReason.ENDPOINT_FAULT,
 }
 
 REFUSAL_REASONS = {
-    SendEnd.CONNECT_FAILED: RefusalReason.CONNECT_FAILED,
-    SendEnd.NOT_SENT: RefusalReason.NO_ENDPOINT,
-    SendEnd.REFUSED: RefusalReason.ENDPOINT_REFUSED,
-    SendEnd.LOST: RefusalReason.ANSWER_LOST,
-    SendEnd.LATE: RefusalReason.ANSWER_LATE,
-    SendEnd.FAULT: RefusalReason.ANSWER_LOST,
-    SendEnd.CANCELLED: RefusalReason.CALLER_GONE,
+    SendStatus.CONNECT_FAILED: RefusalReason.CONNECT_FAILED,
+    SendStatus.NOT_SENT: RefusalReason.NO_ENDPOINT,
+    SendStatus.REFUSED: RefusalReason.ENDPOINT_REFUSED,
+    SendStatus.LOST: RefusalReason.ANSWER_LOST,
+    SendStatus.LATE: RefusalReason.ANSWER_LATE,
+    SendStatus.FAULT: RefusalReason.ANSWER_LOST,
+    SendStatus.CANCELLED: RefusalReason.CALLER_GONE,
 }
 
 # Ends after which nothing has reached the endpoint.
-NOT_ARRIVED = frozenset({SendEnd.CONNECT_FAILED, SendEnd.NOT_SENT})
-CERTAINLY_NOT_RUN = NOT_ARRIVED | {SendEnd.REFUSED}
+NOT_EXECUTED = frozenset({SendStatus.CONNECT_FAILED, SendStatus.NOT_SENT})
+CERTAINLY_NOT_RUN = NOT_EXECUTED | {SendStatus.REFUSED}
 
 
-def mark_exposure(ticket, end):
+def mark_may_have_run(ticket, end):
     """Note on the ticket whether an endpoint may have run it."""
     if end not in CERTAINLY_NOT_RUN:
         ticket.exposed = True
 
 
-def judge_retry(ticket, end, budget, now, p10):
+def decide_retry(ticket, end, budget, now, p10):
     """Decide whether a request may be sent once more.
 
     Parameters
     ----------
     ticket : Ticket
         The request; its exposure has been marked.
-    end : SendEnd
+    end : SendStatus
         How its last send ended.
     budget : TokenBudget
         The service's budget of retries.
@@ -56,22 +56,22 @@
     """
     denial = find_denial(ticket, end, now, p10)
     if denial is not None:
-        return Denied(denial)
+        return RetryDenied(denial)
     # Another endpoint gets what this one did not: that is no extra request.
-    if end is not SendEnd.NOT_SENT and not budget.spend():
-        return Denied(RetryReason.DENIED_BUDGET)
+    if end is not SendStatus.NOT_SENT and not budget.spend():
+        return RetryDenied(RetryReason.DENIED_BUDGET)
     return RETRY_REASONS[end]
 
 
 def find_denial(ticket, end, now, p10):
     """Return the rule that forbids another send, or None."""
-    if ticket.barred:
+    if ticket.retry_forbidden:
         return RetryReason.DENIED_ENDINGS
     if ticket.exposed and not ticket.route.repeatable:
         return RetryReason.DENIED_NOT_REPEATABLE
     if not ticket.replayable:
         return RetryReason.DENIED_NOT_REPEATABLE
-    if not ticket.may_retry and end not in NOT_ARRIVED:
+    if not ticket.may_retry and end not in NOT_EXECUTED:
         return RetryReason.DENIED_LAYER
     if ticket.sends >= ticket.route.most_sends:
         return RetryReason.DENIED_BUDGET
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -7,17 +7,17 @@
 from hingesill_core.ratelimits.service import ServiceLimits
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.retries.budget import TokenBudget
-from hingesill_core.retries.decision import NOT_ARRIVED, mark_exposure
+from hingesill_core.retries.decision import NOT_EXECUTED, mark_may_have_run
 from hingesill_core.routing.availability import AvailabilityBook
 from hingesill_core.routing.endpoint_state import EndpointState, ServiceView
 from hingesill_core.routing.hedging import Hedging
 from hingesill_core.routing.latebinding import LateBinding
 from hingesill_core.routing.limitedrequests import LimitedRequests
 from hingesill_core.routing.loadqueries import FRESH_REPORT_POLICY
-from hingesill_core.routing.messages import Queued, Refusal, Send, SendEnd
+from hingesill_core.routing.messages import Queued, Refusal, Send, SendStatus
 from hingesill_core.routing.openings import Openings
 from hingesill_core.routing.policies import POLICIES
-from hingesill_core.routing.retrying import Retrying
+from hingesill_core.routing.retryhandler import RetryHandler
 from hingesill_core.routing.selection import takes_work
 
 __all__ = ["Dispatcher"]
@@ -67,7 +67,7 @@
         self.paces = {}
         self.hedging = Hedging(self, service.sends.hedge_share)
         self.retries = TokenBudget(service.sends.retry_share)
-        self.retrying = Retrying(self)
+        self.retrying = RetryHandler(self)
         self.openings = Openings(self)
         self.limits = limits or ServiceLimits(service.name, rng)
         self.limits.usable = self._takes_work
@@ -330,7 +330,7 @@
         now : float
             The time.
         """
-        mark_exposure(send.ticket, result.end)
+        mark_may_have_run(send.ticket, result.end)
         state = self.find_state(send)
         if state is None:
             return
@@ -338,12 +338,12 @@
         seconds = now - send.started
         state.learn(result, seconds, send.expected, now)
         self._learn_pace(send, result, seconds)
-        if result.end is SendEnd.ANSWERED:
+        if result.end is SendStatus.ANSWERED:
             self.binding.note_answer(send, seconds, now)
-        if result.end in NOT_ARRIVED:
+        if result.end in NOT_EXECUTED:
             send.ticket.sends -= 1
         # An endpoint that asks for a rest is not unhealthy.
-        end = SendEnd.REFUSED if result.rest.seconds else result.end
+        end = SendStatus.REFUSED if result.rest.seconds else result.end
         came_back = state.health.note(end, now, self._may_eject(now))
         if came_back or result.cold:
             state.cold_since = now
@@ -354,7 +354,7 @@
         return state if state is not None and state.born == send.born else None
 
     def _learn_pace(self, send, result, seconds):
-        if result.end is not SendEnd.ANSWERED:
+        if result.end is not SendStatus.ANSWERED:
             return
         route = send.ticket.route
         self.get_latency(route).note(seconds, send.load)
--- a/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
+++ b/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
@@ -9,7 +9,7 @@
 from hingesill_core.ratelimits.share import FleetShare
 from hingesill_core.routing.availability import Availability
 from hingesill_core.routing.health import Health
-from hingesill_core.routing.messages import SendEnd
+from hingesill_core.routing.messages import SendStatus
 
 __all__ = ["EndpointState", "ServiceView"]
 
@@ -204,13 +204,13 @@
             self.common.note_report(result.report)
             self.last_heard = now
         ratio = min(MOST_SLOWNESS, seconds / expected)
-        if result.end is SendEnd.ANSWERED:
+        if result.end is SendStatus.ANSWERED:
             self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
             self.common.note_ratio(ratio)
             self.last_heard = now
-        elif result.end is SendEnd.CANCELLED and ratio > self.slowness:
+        elif result.end is SendStatus.CANCELLED and ratio > self.slowness:
             self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
-        elif result.end is SendEnd.REFUSED:
+        elif result.end is SendStatus.REFUSED:
             self.availability.note_rest(REFUSED_PAUSE, now)
 
     def has_place(self, ticket, now):
--- a/packages/hingesill-core/hingesill_core/routing/health.py
+++ b/packages/hingesill-core/hingesill_core/routing/health.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from hingesill_core.routing.messages import SendEnd
+from hingesill_core.routing.messages import SendStatus
 
 __all__ = ["Health"]
 
@@ -14,7 +14,9 @@
 HANG_FACTOR = 20.0
 HANG_FLOOR = 0.25
 
-FAILED = frozenset({SendEnd.FAULT, SendEnd.CONNECT_FAILED, SendEnd.LOST, SendEnd.LATE})
+FAILED = frozenset(
+    {SendStatus.FAULT, SendStatus.CONNECT_FAILED, SendStatus.LOST, SendStatus.LATE}
+)
 
 
 class Health(Struct):
@@ -47,7 +49,7 @@
 
         Parameters
         ----------
-        end : SendEnd
+        end : SendStatus
             CANCELLED and REFUSED say nothing on health.
         now : float
             The time.
@@ -62,7 +64,7 @@
         if end in FAILED:
             self._note_failure(now, may_eject)
             return False
-        if end is not SendEnd.ANSWERED:
+        if end is not SendStatus.ANSWERED:
             self.on_trial = False
             return False
         self.fault_share -= FAULT_WEIGHT * self.fault_share
--- a/packages/hingesill-core/hingesill_core/routing/hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/hedging.py
@@ -3,7 +3,7 @@
 from hingesill_core.reasons import RetryReason
 from hingesill_core.retries.budget import TokenBudget
 from hingesill_core.routing.loadqueries import FRESH_REPORT_POLICY
-from hingesill_core.routing.messages import Denied
+from hingesill_core.routing.messages import RetryDenied
 
 __all__ = ["Hedging"]
 
@@ -71,7 +71,7 @@
         """
         denial = self._find_denial(ticket, now)
         if denial is not None:
-            return Denied(denial)
+            return RetryDenied(denial)
         if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
             return self._ask(ticket, now)
         return self._send(ticket, now)
@@ -112,9 +112,9 @@
             if state.identity not in ticket.tried and state.has_place(ticket, now)
         ]
         if not free:
-            return Denied(RetryReason.DENIED_NO_ENDPOINT)
+            return RetryDenied(RetryReason.DENIED_NO_ENDPOINT)
         if not self.budget.spend():
-            return Denied(RetryReason.DENIED_BUDGET)
+            return RetryDenied(RetryReason.DENIED_BUDGET)
         state = self.dispatcher.choose(free, now, self.dispatcher.rng)
         return self.dispatcher.start_send(ticket, state, now, hedge=True)
 
@@ -129,17 +129,17 @@
         retries = self.dispatcher.retries
         kept = min(KEPT_FOR_RETRIES, max(0.0, retries.burst - 1.0))
         if not retries.spend(keep=kept):
-            return Denied(RetryReason.DENIED_BUDGET)
+            return RetryDenied(RetryReason.DENIED_BUDGET)
         ask = self.dispatcher.binding.enter_hedge(ticket, now)
         if ask is None:
-            retries.give_back()
-            return Denied(RetryReason.DENIED_NO_ENDPOINT)
+            retries.refund()
+            return RetryDenied(RetryReason.DENIED_NO_ENDPOINT)
         return ask
 
     def end(self, ticket):
         """Take back a hedge that asked and was not sent."""
         self.dispatcher.binding.leave(ticket)
-        self.dispatcher.retries.give_back()
+        self.dispatcher.retries.refund()
 
 
 def compute_last_chance(send, median):
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -12,7 +12,7 @@
     Stage,
     is_good_enough,
 )
-from hingesill_core.routing.messages import SendEnd
+from hingesill_core.routing.messages import SendStatus
 from hingesill_core.routing.selection import EndpointSelection, can_get_work, takes_work
 from hingesill_core.routing.slotknowledge import SlotKnowledge
 from hingesill_core.routing.unhealthyreports import UnhealthyReports
@@ -251,7 +251,7 @@
         if state is None or born != state.born:
             return None
         state.reach.note(reply.end, now, may_eject=True)
-        if reply.end is SendEnd.ANSWERED:
+        if reply.end is SendStatus.ANSWERED:
             if reply.is_unhealthy is not None:
                 self.unhealthy_reports.note(reply.is_unhealthy)
             if reply.limit is not None and reply.sent_at is not None:
--- a/packages/hingesill-core/hingesill_core/routing/loadqueries.py
+++ b/packages/hingesill-core/hingesill_core/routing/loadqueries.py
@@ -13,7 +13,7 @@
 from hingesill_core.ratelimits.reportedlimits import NamedLimit
 from hingesill_core.routing.availability import NO_REST, RequestedRest
 from hingesill_core.routing.load_report import LoadReport
-from hingesill_core.routing.messages import SendEnd
+from hingesill_core.routing.messages import SendStatus
 
 __all__ = [
     "FRESH_REPORT_POLICY",
@@ -113,7 +113,7 @@
     ----------
     endpoint : str
         Its identity.
-    end : SendEnd
+    end : SendStatus
         ANSWERED, or why there is no report.
     report : LoadReport or None
         Its load, if it told it.
@@ -134,7 +134,7 @@
     """
 
     endpoint: str
-    end: SendEnd
+    end: SendStatus
     report: LoadReport | None = None
     warm_in: float | None = None
     is_unhealthy: bool | None = None
--- a/packages/hingesill-core/hingesill_core/routing/messages.py
+++ b/packages/hingesill-core/hingesill_core/routing/messages.py
@@ -11,11 +11,11 @@
 from hingesill_core.routing.load_report import LoadReport
 
 __all__ = [
-    "Denied",
+    "RetryDenied",
     "Queued",
     "Refusal",
     "Send",
-    "SendEnd",
+    "SendStatus",
     "SendResult",
     "Ticket",
 ]
@@ -52,7 +52,7 @@
     exposed: bool = False
     waiting: bool = False
     elapsed: float = 0.0
-    barred: bool = False
+    retry_forbidden: bool = False
 
 
 class Send(Struct, eq=False):
@@ -111,13 +111,13 @@
     retry_after: float | None = None
 
 
-class Denied(Struct, frozen=True):
+class RetryDenied(Struct, frozen=True):
     """A request is not sent again, with the reason."""
 
     reason: RetryReason
 
 
-class SendEnd(str, Enum):
+class SendStatus(str, Enum):
     """How a send ended.
 
     Notes
@@ -140,7 +140,7 @@
 
     Parameters
     ----------
-    end : SendEnd
+    end : SendStatus
         How it ended.
     report : LoadReport or None
         The endpoint's word on its load, if one came.
@@ -154,7 +154,7 @@
         What the answer named; None if no head of this endpoint's came.
     """
 
-    end: SendEnd
+    end: SendStatus
     report: LoadReport | None = None
     leaving: bool = False
     cold: bool = False
--- a/packages/hingesill-core/hingesill_core/routing/retrying.py
+++ b/packages/hingesill-core/hingesill_core/routing/retryhandler.py
@@ -1,16 +1,16 @@
 """What follows a send that brought no answer: another send, or the final answer."""
 
 from hingesill_core.reasons import RetryReason
-from hingesill_core.retries.decision import classify_refusal, judge_retry
-from hingesill_core.routing.messages import Denied, Refusal, SendEnd
+from hingesill_core.retries.decision import classify_refusal, decide_retry
+from hingesill_core.routing.messages import Refusal, RetryDenied, SendStatus
 
-__all__ = ["Retrying"]
+__all__ = ["RetryHandler"]
 
 # Shortest Retry-After where an endpoint refused a request by chance, in seconds.
 SOON = 0.01
 
 
-class Retrying:
+class RetryHandler:
     """The retries of one service.
 
     Parameters
@@ -32,8 +32,8 @@
             counted, which is a ``DENIED`` one with a Refusal.
         """
         p10 = self._dispatcher.get_latency(ticket.route).p10
-        verdict = judge_retry(ticket, end, self._dispatcher.retries, now, p10)
-        if isinstance(verdict, Denied):
+        verdict = decide_retry(ticket, end, self._dispatcher.retries, now, p10)
+        if isinstance(verdict, RetryDenied):
             return self._give_up(ticket, end, now), verdict.reason
         ask = self._dispatcher.begin_queries(ticket, now)
         if isinstance(ask, Refusal):
@@ -50,8 +50,8 @@
 
     def _find_no_endpoint(self, ticket, end, now):
         """Return the Refusal of a request for which there is no other endpoint."""
-        if end is not SendEnd.NOT_SENT:
-            self._dispatcher.retries.give_back()
+        if end is not SendStatus.NOT_SENT:
+            self._dispatcher.retries.refund()
         return self._give_up(ticket, end, now), RetryReason.DENIED_NO_ENDPOINT
 
     def _give_up(self, ticket, end, now):
@@ -64,7 +64,7 @@
 
     def _is_by_chance(self, end):
         """Tell whether an endpoint refused a request though there is room."""
-        return end is SendEnd.REFUSED and not self._dispatcher.binding.waiting
+        return end is SendStatus.REFUSED and not self._dispatcher.binding.waiting
 
     def _suggest_other_node(self):
         """Return when to come back after an endpoint refused though it was free.
--- a/packages/hingesill-core/hingesill_core/routing/tests/playedendpoint.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/playedendpoint.py
@@ -2,7 +2,7 @@
 
 from hingesill_core.ratelimits.reportedlimits import NO_LIMIT, NamedLimit
 from hingesill_core.routing.load_report import LoadReport
-from hingesill_core.routing.messages import SendEnd, SendResult
+from hingesill_core.routing.messages import SendResult, SendStatus
 from hingesill_core.routing.tests.loads import Spell
 
 __all__ = ["DATA_CENTRES", "SLOTS", "PlayedEndpoint"]
@@ -63,9 +63,9 @@
         spell = self.find_spell()
         is_shed = spell is not None and self.play.rng.random() < spell.shed
         if spell is not None and spell.down:
-            self._tell(node, send, SendEnd.LOST)
+            self._tell(node, send, SendStatus.LOST)
         elif is_shed or len(self.queue) >= QUEUE:
-            self._tell(node, send, SendEnd.REFUSED)
+            self._tell(node, send, SendStatus.REFUSED)
         elif len(self.running) < SLOTS:
             self._begin(node, send)
         else:
@@ -87,9 +87,9 @@
         spell = self.find_spell() or Spell(0.0, 0.0)
         luck = self.play.rng.random()
         if luck < spell.broken:
-            self._tell(node, send, SendEnd.LOST)
+            self._tell(node, send, SendStatus.LOST)
         elif luck >= spell.broken + spell.lost:
-            self._tell(node, send, SendEnd.ANSWERED)
+            self._tell(node, send, SendStatus.ANSWERED)
 
     def _free(self, send):
         del self.running[send]
--- a/packages/hingesill-core/hingesill_core/routing/tests/playednode.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/playednode.py
@@ -13,8 +13,8 @@
 from hingesill_core.routing.messages import (
     Refusal,
     Send,
-    SendEnd,
     SendResult,
+    SendStatus,
     Ticket,
 )
 from hingesill_core.routing.tests.loads import Request
@@ -94,7 +94,7 @@
     def _look_at(self, endpoint, way):
         reply = LoadReply(
             endpoint.identity,
-            SendEnd.ANSWERED,
+            SendStatus.ANSWERED,
             endpoint.report(),
             endpoint.get_warm_in(),
             endpoint.is_unhealthy(),
@@ -165,10 +165,10 @@
         named = self.play.endpoints[send.endpoint].name_limit()
         self.dispatcher.note_limit(send, named, now)
         self.dispatcher.settle(send, result, now)
-        if result.end is SendEnd.ANSWERED:
+        if result.end is SendStatus.ANSWERED:
             self._close(attempt)
             self.play.answer(attempt.request)
-            self._take(LoadReply(send.endpoint, SendEnd.ANSWERED, result.report))
+            self._take(LoadReply(send.endpoint, SendStatus.ANSWERED, result.report))
         elif not attempt.live:
             self.dispatcher.binding.leave(attempt.ticket)
             decision, _ = self.dispatcher.retry(attempt.ticket, result.end, now)
@@ -183,10 +183,10 @@
         """End a try whose time is over."""
         if self.is_alive and attempt.is_open:
             self.elapsed.record_unserved(self.play.now)
-            self._close(attempt, SendEnd.LATE)
+            self._close(attempt, SendStatus.LATE)
             self.play.refuse(attempt, None)
 
-    def _close(self, attempt, end=SendEnd.CANCELLED):
+    def _close(self, attempt, end=SendStatus.CANCELLED):
         """Cancel what is still under way."""
         attempt.is_open = False
         self.dispatcher.binding.leave(attempt.ticket)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_availability.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_availability.py
@@ -15,7 +15,7 @@
     RequestedRest,
 )
 from hingesill_core.routing.dispatcher import Dispatcher
-from hingesill_core.routing.messages import SendEnd, SendResult, Ticket
+from hingesill_core.routing.messages import SendResult, SendStatus, Ticket
 from hingesill_core.routing.tests.test_latebinding import (
     FLEET,
     ROUTE,
@@ -149,17 +149,17 @@
 
     def test_it_is_not_ejected(self):
         for _ in range(5):
-            self.settle(SendEnd.FAULT)
+            self.settle(SendStatus.FAULT)
         self.assertTrue(self.state.health.is_open())
         self.assertEqual(self.state.health.fault_share, 0.0)
 
     def test_a_send_that_it_refused_has_not_run(self):
         ticket = Ticket(ROUTE, 0.0, 2.0)
         send = self.dispatcher.start_send(ticket, self.state, 0.0)
-        result = SendResult(SendEnd.REFUSED, rest=RequestedRest(3.0))
+        result = SendResult(SendStatus.REFUSED, rest=RequestedRest(3.0))
         self.dispatcher.settle(send, result, 0.0)
         self.dispatcher.retries.tokens = 0.0
-        refusal, _ = self.dispatcher.retry(ticket, SendEnd.REFUSED, 0.0)
+        refusal, _ = self.dispatcher.retry(ticket, SendStatus.REFUSED, 0.0)
         self.assertIs(refusal.outcome, Outcome.NOT_RUN)
 
     def test_neither_the_store_nor_another_node_takes_back_that_it_is_leaving(self):
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
@@ -12,12 +12,12 @@
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.messages import (
-    Denied,
     Queued,
     Refusal,
+    RetryDenied,
     Send,
-    SendEnd,
     SendResult,
+    SendStatus,
     Ticket,
 )
 
@@ -75,13 +75,13 @@
         """Let the budgets of extra sends fill."""
         for _ in range(count):
             _, send = self.ask(self.read)
-            self.dispatcher.settle(send, SendResult(SendEnd.ANSWERED), 0.005)
+            self.dispatcher.settle(send, SendResult(SendStatus.ANSWERED), 0.005)
 
 
 class AdmissionTests(DispatcherCase):
     def test_held_request_goes_when_a_place_is_free(self):
         sends = self.fill(self.read)
-        self.dispatcher.settle(sends[0], SendResult(SendEnd.ANSWERED), 0.01)
+        self.dispatcher.settle(sends[0], SendResult(SendStatus.ANSWERED), 0.01)
         self.assertEqual(len(list(self.dispatcher.pump(0.01))), 1)
 
     def test_unreachable_deadline_is_refused_at_once(self):
@@ -112,7 +112,7 @@
         self.ask(self.export)
         live, _ = self.ask(self.read)
         for send in sends:
-            self.dispatcher.settle(send, SendResult(SendEnd.ANSWERED), 0.01)
+            self.dispatcher.settle(send, SendResult(SendStatus.ANSWERED), 0.01)
         first = next(iter(self.dispatcher.pump(0.01)))
         self.assertTrue(first.ticket.route.live)
 
@@ -137,37 +137,37 @@
         return ticket, *self.dispatcher.retry(ticket, end, 0.01)
 
     def test_lost_move_is_unknown_and_not_repeated(self):
-        for end in (SendEnd.LOST, SendEnd.LATE):
+        for end in (SendStatus.LOST, SendStatus.LATE):
             with self.subTest(end=end):
                 _, decision, reason = self.end(self.move, end)
                 self.assertIs(decision.outcome, Outcome.UNKNOWN)
                 self.assertIs(reason, RetryReason.DENIED_NOT_REPEATABLE)
 
     def test_move_that_did_not_run_goes_elsewhere(self):
-        for end in (SendEnd.REFUSED, SendEnd.CONNECT_FAILED):
+        for end in (SendStatus.REFUSED, SendStatus.CONNECT_FAILED):
             with self.subTest(end=end):
                 ticket, decision, _ = self.end(self.move, end)
                 self.assertIsInstance(decision, Send)
                 self.assertNotEqual(ticket.tried[0], ticket.tried[1])
 
     def test_lost_read_is_sent_again(self):
-        _, decision, reason = self.end(self.read, SendEnd.LOST)
+        _, decision, reason = self.end(self.read, SendStatus.LOST)
         self.assertIsInstance(decision, Send)
         self.assertIs(reason, RetryReason.ANSWER_LOST)
 
     def test_one_layer_sends_again(self):
-        _, decision, reason = self.end(self.read, SendEnd.LOST, may_retry=False)
+        _, decision, reason = self.end(self.read, SendStatus.LOST, may_retry=False)
         self.assertIsInstance(decision, Refusal)
         self.assertIs(reason, RetryReason.DENIED_LAYER)
 
     def test_sent_body_is_not_sent_again(self):
-        _, decision, _ = self.end(self.read, SendEnd.REFUSED, replayable=False)
+        _, decision, _ = self.end(self.read, SendStatus.REFUSED, replayable=False)
         self.assertIsInstance(decision, Refusal)
 
     def test_empty_budget(self):
         ticket, send = self.ask(self.read)
-        self.dispatcher.settle(send, SendResult(SendEnd.LOST), 0.01)
-        _, reason = self.dispatcher.retry(ticket, SendEnd.LOST, 0.01)
+        self.dispatcher.settle(send, SendResult(SendStatus.LOST), 0.01)
+        _, reason = self.dispatcher.retry(ticket, SendStatus.LOST, 0.01)
         self.assertIs(reason, RetryReason.DENIED_BUDGET)
 
     def test_hedge_goes_to_another_endpoint(self):
@@ -180,7 +180,7 @@
         self.earn()
         ticket, _ = self.ask(self.move)
         denied = self.dispatcher.hedging.start(ticket, 0.05)
-        self.assertEqual(denied, Denied(RetryReason.DENIED_NOT_REPEATABLE))
+        self.assertEqual(denied, RetryDenied(RetryReason.DENIED_NOT_REPEATABLE))
 
 
 class PreferenceTests(DispatcherCase):
@@ -190,7 +190,7 @@
         for _ in range(requests):
             _, send = self.ask(self.read, now)
             counts[send.endpoint] += 1
-            self.dispatcher.settle(send, SendResult(SendEnd.ANSWERED), now + 0.005)
+            self.dispatcher.settle(send, SendResult(SendStatus.ANSWERED), now + 0.005)
         return counts
 
     def test_overdue_endpoint_is_left_out(self):
@@ -210,7 +210,7 @@
             _, send = self.ask(self.read, now)
             bad = send.endpoint == ADDRESSES[0]
             failures += bad
-            end = SendEnd.FAULT if bad else SendEnd.ANSWERED
+            end = SendStatus.FAULT if bad else SendStatus.ANSWERED
             report = idle if bad else LoadReport(2, now, 0)
             self.dispatcher.settle(send, SendResult(end, report), now + 0.004)
         self.assertLess(failures, 20)
@@ -219,7 +219,7 @@
         for number in range(100):
             _, send = self.ask(self.move, number * 0.001)
             if isinstance(send, Send):
-                result = SendResult(SendEnd.CONNECT_FAILED)
+                result = SendResult(SendStatus.CONNECT_FAILED)
                 self.dispatcher.settle(send, result, number * 0.001)
         out = [
             state
@@ -273,19 +273,19 @@
         self.take(ticket, self.dispatcher.submit(ticket, self.now))
 
     @precondition(lambda self: self.live)
-    @rule(index=st.integers(0, 100), end=st.sampled_from(list(SendEnd)))
+    @rule(index=st.integers(0, 100), end=st.sampled_from(list(SendStatus)))
     def settle(self, index, end):
         send = self.live.pop(index % len(self.live))
         ticket = send.ticket
-        certain = (SendEnd.REFUSED, SendEnd.CONNECT_FAILED, SendEnd.NOT_SENT)
+        certain = (SendStatus.REFUSED, SendStatus.CONNECT_FAILED, SendStatus.NOT_SENT)
         self.maybe_run[ticket] = self.maybe_run.get(ticket) or end not in certain
         self.dispatcher.settle(send, SendResult(end), self.now)
         others = any(other.ticket is ticket for other in self.live)
-        if end in (SendEnd.ANSWERED, SendEnd.CANCELLED) or others:
+        if end in (SendStatus.ANSWERED, SendStatus.CANCELLED) or others:
             return
         decision, reason = self.dispatcher.retry(ticket, end, self.now)
         # What follows a send that did not reach its endpoint takes that one's place.
-        is_extra = end is not SendEnd.NOT_SENT
+        is_extra = end is not SendStatus.NOT_SENT
         self.extra_sends += is_extra and isinstance(decision, (Send, Queued))
         self.take(ticket, decision)
 
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_hedging.py
@@ -8,7 +8,7 @@
 from hingesill_core.configuration.services import SendBudget
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.loadqueries import LoadQuery, QueryRules
-from hingesill_core.routing.messages import Denied, Refusal, Ticket
+from hingesill_core.routing.messages import Refusal, RetryDenied, Ticket
 from hingesill_core.routing.tests.test_latebinding import (
     FLEET,
     ROUTE,
@@ -49,18 +49,18 @@
         self.dispatcher.submit(Ticket(ROUTE, 0.2, 2.2), 0.2)
         tokens = self.dispatcher.retries.tokens
         denied = self.dispatcher.hedging.start(self.ticket, 0.2)
-        self.assertIsInstance(denied, Denied)
+        self.assertIsInstance(denied, RetryDenied)
         self.assertEqual(self.dispatcher.retries.tokens, tokens)
 
     def test_a_token_is_left_for_retries(self):
         self.dispatcher.retries.tokens = 1.9
         denied = self.dispatcher.hedging.start(self.ticket, 0.2)
-        self.assertIsInstance(denied, Denied)
+        self.assertIsInstance(denied, RetryDenied)
 
     def test_the_operators_number_of_endpoints_holds(self):
         self.ticket.sends = ROUTE.most_sends
         denied = self.dispatcher.hedging.start(self.ticket, 0.2)
-        self.assertIsInstance(denied, Denied)
+        self.assertIsInstance(denied, RetryDenied)
 
     def test_a_hedge_that_finds_nothing_ends_and_costs_nothing(self):
         tokens = self.dispatcher.retries.tokens
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_homes.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_homes.py
@@ -14,8 +14,8 @@
 from hingesill_core.routing.messages import (
     Refusal,
     Send,
-    SendEnd,
     SendResult,
+    SendStatus,
     Ticket,
 )
 from hingesill_core.routing.tests.test_latebinding import ROUTE, build_service
@@ -33,7 +33,7 @@
 
 
 def reply(endpoint):
-    return LoadReply(endpoint, SendEnd.ANSWERED, LoadReport(0, 0.0, 0, 3))
+    return LoadReply(endpoint, SendStatus.ANSWERED, LoadReport(0, 0.0, 0, 3))
 
 
 class HomesCase(unittest.TestCase):
@@ -73,8 +73,8 @@
         self.dispatcher.submit(self.ticket, 0.0)
         self.dispatcher.retries.tokens = 2.0
         send = self.binding.take(reply("south2"), 0.05)
-        self.dispatcher.settle(send, SendResult(SendEnd.LOST), 0.1)
-        decision, _ = self.dispatcher.retry(self.ticket, SendEnd.LOST, 0.1)
+        self.dispatcher.settle(send, SendResult(SendStatus.LOST), 0.1)
+        decision, _ = self.dispatcher.retry(self.ticket, SendStatus.LOST, 0.1)
         self.assertIsInstance(decision, LoadQuery)
         self.assertLessEqual(set(decision.endpoints), {"south2", "south3"})
         self.assertIsNone(self.binding.take(reply("west4"), 0.2))
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_latebinding.py
@@ -17,7 +17,13 @@
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.loadqueries import LoadQuery, LoadReply, QueryRules
-from hingesill_core.routing.messages import Refusal, Send, SendEnd, SendResult, Ticket
+from hingesill_core.routing.messages import (
+    Refusal,
+    Send,
+    SendResult,
+    SendStatus,
+    Ticket,
+)
 
 ROUTE = Route("arena", "", "/a/", True, True, 2.0, target=0.25, most_sends=2)
 ONCE = Route("arena", "", "/b/", False, True, 2.0, target=0.25, most_sends=2)
@@ -35,7 +41,7 @@
 
 def reply(endpoint, running, slots=3, slowness=1.0):
     report = LoadReport(running, 0.0, 0, slots, slowness)
-    return LoadReply(endpoint, SendEnd.ANSWERED, report)
+    return LoadReply(endpoint, SendStatus.ANSWERED, report)
 
 
 class AskingTests(unittest.TestCase):
@@ -103,8 +109,8 @@
         """Have the endpoint refuse; return the Refusal, as there is no token."""
         send = self.binding.take(reply("i1", 0), now)
         self.dispatcher.retries.tokens = 0.0
-        self.dispatcher.settle(send, SendResult(SendEnd.REFUSED), now)
-        return self.dispatcher.retry(send.ticket, SendEnd.REFUSED, now)[0]
+        self.dispatcher.settle(send, SendResult(SendStatus.REFUSED), now)
+        return self.dispatcher.retry(send.ticket, SendStatus.REFUSED, now)[0]
 
     def test_who_is_refused_by_chance_comes_back_soon(self):
         self.dispatcher.submit(self.ticket, 0.0)
@@ -255,7 +261,7 @@
 
     def test_silent_endpoints_are_asked_less(self):
         for _ in range(2):
-            self.binding.note_reply(LoadReply("i0", SendEnd.LOST), 0.0)
+            self.binding.note_reply(LoadReply("i0", SendStatus.LOST), 0.0)
         asked = set()
         for _ in range(10):
             ask = self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.1)
@@ -267,7 +273,7 @@
             send = self.dispatcher.start_send(
                 Ticket(ROUTE, 0.0, 2.0), self.dispatcher.states["i0"], 0.0
             )
-            self.dispatcher.settle(send, SendResult(SendEnd.FAULT), 0.05)
+            self.dispatcher.settle(send, SendResult(SendStatus.FAULT), 0.05)
             self.binding.note_reply(reply("i0", 0), 0.05)
         self.assertFalse(self.dispatcher.states["i0"].health.is_open())
 
@@ -278,7 +284,7 @@
 
     def test_without_reports_nobody_is_asked(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        self.binding.take(LoadReply("i0", SendEnd.ANSWERED), 0.01)
+        self.binding.take(LoadReply("i0", SendStatus.ANSWERED), 0.01)
         decision = self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.02)
         self.assertNotIsInstance(decision, LoadQuery)
         ((_, waiting),) = self.binding.expire(0.03)
@@ -287,20 +293,20 @@
     def test_a_send_is_never_repeated_beyond_the_routes_bound(self):
         self.dispatcher.retries.tokens = 5.0
         ticket = Ticket(ROUTE, 0.0, 2.0, sends=2)
-        decision, _ = self.dispatcher.retry(ticket, SendEnd.FAULT, 0.1)
+        decision, _ = self.dispatcher.retry(ticket, SendStatus.FAULT, 0.1)
         self.assertIsInstance(decision, Refusal)
 
     def test_what_may_have_run_once_is_not_sent_again(self):
         self.dispatcher.retries.tokens = 5.0
         ticket = Ticket(ONCE, 0.0, 2.0, sends=1, exposed=True)
-        decision, _ = self.dispatcher.retry(ticket, SendEnd.LOST, 0.1)
+        decision, _ = self.dispatcher.retry(ticket, SendStatus.LOST, 0.1)
         self.assertIsInstance(decision, Refusal)
         self.assertIs(decision.outcome, Outcome.UNKNOWN)
 
     def test_a_retry_goes_elsewhere(self):
         self.dispatcher.retries.tokens = 5.0
         ticket = Ticket(ROUTE, 0.0, 2.0, sends=1, tried=["i0"])
-        self.dispatcher.retry(ticket, SendEnd.FAULT, 0.1)
+        self.dispatcher.retry(ticket, SendStatus.FAULT, 0.1)
         self.assertIsNone(self.binding.take(reply("i0", 0), 0.11))
         self.assertIsInstance(self.binding.take(reply("i1", 0), 0.11), Send)
 
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
@@ -10,7 +10,13 @@
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.loadqueries import LoadQuery
-from hingesill_core.routing.messages import Refusal, Send, SendEnd, SendResult, Ticket
+from hingesill_core.routing.messages import (
+    Refusal,
+    Send,
+    SendResult,
+    SendStatus,
+    Ticket,
+)
 from hingesill_core.routing.tests.test_latebinding import ROUTE, build_service, reply
 
 OWN = ("10.0.0.1", 80)
@@ -142,7 +148,7 @@
             begun = [decision] if isinstance(decision, Send) else []
             for send in [*begun, *self.dispatcher.pump(now + 0.01)]:
                 sends += 1
-                answer = SendResult(SendEnd.ANSWERED)
+                answer = SendResult(SendStatus.ANSWERED)
                 self.dispatcher.settle(send, answer, now + 0.01)
         self.assertLessEqual(sends, 17)
         self.assertGreater(sends, 8)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_lives.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_lives.py
@@ -7,7 +7,7 @@
 
 from hingesill_core.reasons import Outcome
 from hingesill_core.routing.dispatcher import Dispatcher
-from hingesill_core.routing.messages import SendEnd, SendResult, Ticket
+from hingesill_core.routing.messages import SendResult, SendStatus, Ticket
 from hingesill_core.routing.tests.test_latebinding import (
     FLEET,
     ONCE,
@@ -61,7 +61,7 @@
     def test_what_was_sent_to_the_life_before_says_nothing_of_this_one(self):
         state = self.start_again()
         for _ in range(3):
-            lost = SendResult(SendEnd.LOST)
+            lost = SendResult(SendStatus.LOST)
             self.dispatcher.settle(self.send, lost, 0.5)
         self.assertEqual(state.health.consecutive, 0)
         self.assertTrue(self.ticket.exposed)
@@ -78,6 +78,6 @@
         ticket = Ticket(ONCE, 0.0, 2.0)
         send = self.dispatcher.start_send(ticket, self.old, 0.0)
         self.start_again()
-        self.dispatcher.settle(send, SendResult(SendEnd.LOST), 0.1)
-        refusal, _ = self.dispatcher.retry(ticket, SendEnd.LOST, 0.1)
+        self.dispatcher.settle(send, SendResult(SendStatus.LOST), 0.1)
+        refusal, _ = self.dispatcher.retry(ticket, SendStatus.LOST, 0.1)
         self.assertIs(refusal.outcome, Outcome.UNKNOWN)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_openings.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_openings.py
@@ -7,7 +7,7 @@
 from hingesill_core.routing.availability import NO_REST, RequestedRest
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.loadqueries import LoadQuery
-from hingesill_core.routing.messages import Refusal, SendEnd, SendResult, Ticket
+from hingesill_core.routing.messages import Refusal, SendResult, SendStatus, Ticket
 from hingesill_core.routing.openings import PATIENCE_SECONDS, SPREAD_SECONDS
 from hingesill_core.routing.tests.test_latebinding import (
     FLEET,
@@ -62,10 +62,10 @@
         self.rest(3.0, 3.0)
         self.submit()
         send = self.binding.take(reply("i2", 0), 0.01)
-        result = SendResult(SendEnd.REFUSED, rest=RequestedRest(2.0))
+        result = SendResult(SendStatus.REFUSED, rest=RequestedRest(2.0))
         self.dispatcher.settle(send, result, 0.01)
         self.dispatcher.openings.note("i2", 0, result.rest, False, 0.01)
-        refusal, _ = self.dispatcher.retry(send.ticket, SendEnd.REFUSED, 0.01)
+        refusal, _ = self.dispatcher.retry(send.ticket, SendStatus.REFUSED, 0.01)
         self.assertIsInstance(refusal, Refusal)
         self.assertGreaterEqual(refusal.retry_after, 2.0)
         self.assertIs(refusal.outcome, Outcome.NOT_RUN)
@@ -98,8 +98,8 @@
         self.rest(3.0, 3.0)
         self.submit()
         send = self.binding.take(reply("i2", 0), 0.01)
-        self.dispatcher.settle(send, SendResult(SendEnd.LOST), 0.1)
-        decision, _ = self.dispatcher.retry(send.ticket, SendEnd.LOST, 0.1)
+        self.dispatcher.settle(send, SendResult(SendStatus.LOST), 0.1)
+        decision, _ = self.dispatcher.retry(send.ticket, SendStatus.LOST, 0.1)
         self.assertIsInstance(decision, Refusal)
 
 
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
@@ -10,7 +10,7 @@
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.loadqueries import LoadReply
-from hingesill_core.routing.messages import Send, SendEnd, SendResult, Ticket
+from hingesill_core.routing.messages import Send, SendResult, SendStatus, Ticket
 from hingesill_core.routing.tests.test_latebinding import ROUTE, build_service
 from hingesill_core.routing.warmup import WORD_HOLDS, WarmUpLimit
 
@@ -20,7 +20,7 @@
 
 def reply(endpoint, running, warm_in):
     report = LoadReport(running, 0.0, 0, 2)
-    return LoadReply(endpoint, SendEnd.ANSWERED, report, warm_in)
+    return LoadReply(endpoint, SendStatus.ANSWERED, report, warm_in)
 
 
 class WarmUpTests(unittest.TestCase):
@@ -52,7 +52,9 @@
             send = self.binding.take(reply("i1", 0, 5.0), now + 0.03)
             if send is not None:
                 sent += 1
-                self.dispatcher.settle(send, SendResult(SendEnd.ANSWERED), now + 0.03)
+                self.dispatcher.settle(
+                    send, SendResult(SendStatus.ANSWERED), now + 0.03
+                )
         self.assertIn(sent, range(1, 7))
 
     def test_an_answer_does_not_tell_that_it_is_warm(self):
--- a/packages/hingesill-node/hingesill_node/datapath/exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/exchange.py
@@ -10,11 +10,11 @@
 from hingesill_core.reasons import RefusalReason, RetryReason
 from hingesill_core.routing.loadqueries import LoadQuery
 from hingesill_core.routing.messages import (
-    Denied,
     Queued,
     Refusal,
-    SendEnd,
+    RetryDenied,
     SendResult,
+    SendStatus,
 )
 from hingesill_node.datapath.callers import is_caller_gone
 from hingesill_node.datapath.hedges import AskedHedge
@@ -87,7 +87,7 @@
                     return self.fault_answer or decision
                 else:
                     outcome = self._carry_out(decision)
-                    if not isinstance(outcome, SendEnd):
+                    if not isinstance(outcome, SendStatus):
                         return outcome
                     decision = self._decide_after(outcome)
         finally:
@@ -97,8 +97,8 @@
         """Ask for what follows a send that brought no answer."""
         # A try must not end one endpoint after another while it is being found out
         # whether they end under it.
-        if end is SendEnd.LOST and not self.guard.may_send_again(self.request):
-            self.ticket.barred = True
+        if end is SendStatus.LOST and not self.guard.may_send_again(self.request):
+            self.ticket.retry_forbidden = True
         now = self.clock()
         decision, reason = self.runner.dispatcher.retry(self.ticket, end, now)
         self.counters.add("retries", self.service, reason.value)
@@ -121,7 +121,7 @@
         return found.decision
 
     def _carry_out(self, send):
-        """Return an Answer, a Refusal, or the SendEnd to decide on."""
+        """Return an Answer, a Refusal, or the SendStatus to decide on."""
         proven, self.proven = self.proven, None
         # It may have become known while the request waited for an endpoint.
         refusal = self.guard.find_refusal(self.request, self.ticket.exposed)
@@ -129,7 +129,7 @@
             self.runner.give_back(send, proven)
             return refusal
         live = self.sends.start(send, proven)
-        if isinstance(live, SendEnd):
+        if isinstance(live, SendStatus):
             return live
         if live is None:
             return Refusal(RefusalReason.CALLER_GONE, self.sends.get_outcome())
@@ -140,10 +140,10 @@
 
         Returns
         -------
-        Answer, Refusal or SendEnd
+        Answer, Refusal or SendStatus
         """
         again_at = 0.0
-        last = SendEnd.LATE
+        last = SendStatus.LATE
         while True:
             racing = self.sends.list_racing()
             if not racing:
@@ -151,8 +151,8 @@
                 return last
             now = self.clock()
             if now >= self.ticket.deadline:
-                self.sends.end_all(racing, SendEnd.LATE)
-                return SendEnd.LATE
+                self.sends.end_all(racing, SendStatus.LATE)
+                return SendStatus.LATE
             hedge_at = max(again_at, self._compute_hedge_time(racing[-1]))
             if now >= hedge_at:
                 self._start_hedge()
@@ -165,7 +165,7 @@
                     return Refusal(RefusalReason.CALLER_GONE, self.sends.get_outcome())
             elif ready is not None:
                 outcome = self._read(ready)
-                if not isinstance(outcome, SendEnd):
+                if not isinstance(outcome, SendStatus):
                     return outcome
                 last = outcome
 
@@ -217,7 +217,7 @@
         if self.hedge is not None:
             return
         decision = self.runner.dispatcher.hedging.start(self.ticket, self.clock())
-        if isinstance(decision, Denied):
+        if isinstance(decision, RetryDenied):
             self.counters.add("retries", self.service, decision.reason.value)
             return
         self.counters.add("retries", self.service, RetryReason.HEDGE.value)
@@ -244,16 +244,16 @@
                 live, self.clock(), in_flight, self.wire, self.request.request_id
             )
             self.runner.note_head(live.send, result)
-            if result.end is SendEnd.REFUSED:
+            if result.end is SendStatus.REFUSED:
                 keep = self._drain_short_body(live)
                 return self.sends.end(live, result, keep)
             answer = self._build_answer(live, result)
-            if result.end is SendEnd.FAULT and answer.live is None:
+            if result.end is SendStatus.FAULT and answer.live is None:
                 self._keep_fault(answer)
-                return SendEnd.FAULT
+                return SendStatus.FAULT
             return answer
         except TRANSPORT_ERRORS:
-            return self.sends.end(live, SendResult(SendEnd.LOST))
+            return self.sends.end(live, SendResult(SendStatus.LOST))
 
     def _keep_fault(self, answer):
         """Keep an endpoint's fault for the caller, unless it would mislead.
@@ -307,10 +307,10 @@
         finally:
             result = self.pending_result
             self.sends.end(
-                live, result if keep else SendResult(SendEnd.CANCELLED), keep
+                live, result if keep else SendResult(SendStatus.CANCELLED), keep
             )
 
     def _cancel_all(self):
         """Cancel what is still under way: its answer is of no use any more."""
         self._withdraw_hedge()
-        self.sends.end_all(self.sends.lives, SendEnd.CANCELLED)
+        self.sends.end_all(self.sends.lives, SendStatus.CANCELLED)
--- a/packages/hingesill-node/hingesill_node/datapath/hedges.py
+++ b/packages/hingesill-node/hingesill_node/datapath/hedges.py
@@ -1,6 +1,6 @@
 """A second send that looks for its endpoint beside the first one."""
 
-from hingesill_core.routing.messages import Send, SendEnd
+from hingesill_core.routing.messages import Send, SendStatus
 
 __all__ = ["AskedHedge"]
 
@@ -40,7 +40,7 @@
     def _start(self, found):
         """Send to the endpoint that was found."""
         started = self.exchange.sends.start(found.decision, found.connection)
-        if started is SendEnd.NOT_SENT:
+        if started is SendStatus.NOT_SENT:
             self.exchange.runner.dispatcher.hedging.end(self.exchange.ticket)
 
     def withdraw(self):
--- a/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
@@ -6,7 +6,7 @@
 
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.routing.loadqueries import LoadQuery, LoadReply
-from hingesill_core.routing.messages import Refusal, SendEnd
+from hingesill_core.routing.messages import Refusal, SendStatus
 from hingesill_node.datapath.callers import is_caller_gone
 from hingesill_node.datapath.connections import ConnectFailed, PoolFull
 from hingesill_node.datapath.messages import Found
@@ -83,7 +83,7 @@
         """
         if not self._events:
             return
-        reply = LoadReply(endpoint, SendEnd.ANSWERED, report)
+        reply = LoadReply(endpoint, SendStatus.ANSWERED, report)
         send = self.binding.take(reply, self.runner.clock())
         if send is not None:
             self._hand(send.ticket, Found(send))
@@ -136,9 +136,9 @@
             self.counters.add("probes_left_out", self.runner.dispatcher.service.name)
             return
         except ConnectFailed:
-            reply = LoadReply(endpoint, SendEnd.CONNECT_FAILED)
+            reply = LoadReply(endpoint, SendStatus.CONNECT_FAILED)
         except TRANSPORT_ERRORS:
-            reply = LoadReply(endpoint, SendEnd.LOST)
+            reply = LoadReply(endpoint, SendStatus.LOST)
         if connection is not None and response is None:
             pool.discard(connection)
             connection = None
@@ -167,7 +167,7 @@
         is_unhealthy = response.status >= FIRST_FAULT_STATUS
         reply = LoadReply(
             endpoint,
-            SendEnd.ANSWERED,
+            SendStatus.ANSWERED,
             signals.report,
             warm_in,
             is_unhealthy,
@@ -187,8 +187,8 @@
         """
         signals = self.wire.read_signals(response, self.runner.clock(), 0)
         if not (self.wire.is_unsigned(response) and signals.rest.seconds):
-            return LoadReply(endpoint, SendEnd.LOST)
-        return LoadReply(endpoint, SendEnd.REFUSED, rest=signals.rest)
+            return LoadReply(endpoint, SendStatus.LOST)
+        return LoadReply(endpoint, SendStatus.REFUSED, rest=signals.rest)
 
     def _take(self, reply, pool, connection, response):
         """Give the reply, and the connection that brought it, to a request."""
--- a/packages/hingesill-node/hingesill_node/datapath/prober.py
+++ b/packages/hingesill-node/hingesill_node/datapath/prober.py
@@ -4,7 +4,7 @@
 
 from hingesill_core.probing.proberate import ProbeRateLimiter, compute_probe_rate
 from hingesill_core.probing.probetarget import choose_probe_target
-from hingesill_core.routing.messages import SendEnd, SendResult
+from hingesill_core.routing.messages import SendResult, SendStatus
 from hingesill_node.clocks import read_boot_time
 from hingesill_node.datapath.connections import ConnectFailed, EndpointConnection
 from hingesill_node.datapath.messages import LiveSend
@@ -69,9 +69,9 @@
             connection.set_time_limit(ANSWER_SECONDS)
             result = self._send(name, runner, address, pace, connection)
         except ConnectFailed:
-            result = SendResult(SendEnd.CONNECT_FAILED)
+            result = SendResult(SendStatus.CONNECT_FAILED)
         except TRANSPORT_ERRORS:
-            result = SendResult(SendEnd.LOST)
+            result = SendResult(SendStatus.LOST)
         finally:
             connection.close()
         if result is not None:
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -8,7 +8,7 @@
 from hingesill_core.limits.shares import compute_connection_share
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.routing.dispatcher import Dispatcher
-from hingesill_core.routing.messages import Refusal, SendEnd, SendResult
+from hingesill_core.routing.messages import Refusal, SendResult, SendStatus
 from hingesill_node.crashes.requestguard import RequestGuard
 from hingesill_node.datapath.callers import is_caller_gone
 from hingesill_node.datapath.connections import Pool
@@ -180,7 +180,7 @@
     def give_back(self, send, connection):
         """Leave an endpoint that was found for a send as it is."""
         pool = self.find_pool(send.endpoint)
-        self.settle(send, SendResult(SendEnd.CANCELLED))
+        self.settle(send, SendResult(SendStatus.CANCELLED))
         if connection is not None and pool is not None:
             pool.give_back(connection)
 
--- a/packages/hingesill-node/hingesill_node/datapath/sends.py
+++ b/packages/hingesill-node/hingesill_node/datapath/sends.py
@@ -1,7 +1,7 @@
 """The sends of one request: started, settled, and told of."""
 
 from hingesill_core.reasons import Outcome
-from hingesill_core.routing.messages import SendEnd, SendResult
+from hingesill_core.routing.messages import SendResult, SendStatus
 from hingesill_node.datapath.connections import ConnectFailed
 from hingesill_node.datapath.messages import LiveSend
 from hingesill_node.datapath.story import StepKind, describe_end, describe_report
@@ -10,7 +10,7 @@
 __all__ = ["RequestSends"]
 
 # How a send ends that brought the endpoint's own answer.
-LIVED_THROUGH = frozenset({SendEnd.ANSWERED, SendEnd.FAULT})
+LIVED_THROUGH = frozenset({SendStatus.ANSWERED, SendStatus.FAULT})
 
 
 class RequestSends:
@@ -67,15 +67,15 @@
 
         Returns
         -------
-        LiveSend, SendEnd or None
-            SendEnd if it failed; None if the caller's body did not come.
+        LiveSend, SendStatus or None
+            SendStatus if it failed; None if the caller's body did not come.
         """
         pool = self.runner.find_pool(send.endpoint)
         live = LiveSend(send, pool)
         if pool is None:
             if proven is not None:
                 proven.close()
-            return self.end(live, SendResult(SendEnd.CONNECT_FAILED))
+            return self.end(live, SendResult(SendStatus.CONNECT_FAILED))
         self.counters.add("sends", self.runner.dispatcher.service.name)
         kind = StepKind.HEDGED if send.hedge else StepKind.SENT
         self._tell(kind, send.endpoint, self._describe_evidence(send))
@@ -86,17 +86,17 @@
             if self._close_if_settled(live):
                 return live
             if not self.runner.dispatcher.openings.may_write(send, self.clock()):
-                return self.end(live, SendResult(SendEnd.NOT_SENT), keep=True)
+                return self.end(live, SendResult(SendStatus.NOT_SENT), keep=True)
             send_request(live, self.request, self.clock(), self.wire)
             self._close_if_settled(live)
             return live
         except ConnectFailed:
-            return self.end(live, SendResult(SendEnd.CONNECT_FAILED))
+            return self.end(live, SendResult(SendStatus.CONNECT_FAILED))
         except BodyFailed:
-            self.end(live, SendResult(SendEnd.CANCELLED))
+            self.end(live, SendResult(SendStatus.CANCELLED))
             return None
         except OSError:
-            return self.end(live, SendResult(SendEnd.LOST))
+            return self.end(live, SendResult(SendStatus.LOST))
 
     def _close_if_settled(self, live):
         """Cancel a send that was settled meanwhile; tell whether it was."""
@@ -121,7 +121,7 @@
         self.story.add(kind, self.clock(), endpoint, detail)
 
     def end(self, live, result, keep=False):
-        """Settle a send, and keep or close its connection; return its SendEnd."""
+        """Settle a send, and keep or close its connection; return its SendStatus."""
         if live.settled:
             return result.end
         live.settled = True
@@ -145,7 +145,7 @@
 
     def _tell_guard(self, live, end):
         """Tell whether the endpoint lived through the request."""
-        if end is SendEnd.LOST:
+        if end is SendStatus.LOST:
             self.note_lost(live)
         elif end in LIVED_THROUGH:
             self.runner.guard.note_answer(self.request)
--- a/packages/hingesill-node/hingesill_node/datapath/story.py
+++ b/packages/hingesill-node/hingesill_node/datapath/story.py
@@ -90,7 +90,7 @@
 
     Parameters
     ----------
-    end : SendEnd
+    end : SendStatus
         How it ended.
     response : EndpointResponse or None
         None if no head came.
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
@@ -7,10 +7,10 @@
 from hingesill_core.routing.availability import RequestedRest
 from hingesill_core.routing.loadqueries import LoadQuery
 from hingesill_core.routing.messages import (
-    Denied,
+    RetryDenied,
     Send,
-    SendEnd,
     SendResult,
+    SendStatus,
     Ticket,
 )
 from hingesill_node.datapath import sends as sends_module
@@ -94,12 +94,12 @@
 
         def deny(ticket, now):
             tries.append(now)
-            return Denied(RetryReason.DENIED_NO_ENDPOINT)
+            return RetryDenied(RetryReason.DENIED_NO_ENDPOINT)
 
         hedging = self.runner.dispatcher.hedging
         hedging.start = deny
         hedging.get_overdue_time = lambda send: 0.1
-        self.assertIs(self.exchange._await_first(self.live), SendEnd.LATE)
+        self.assertIs(self.exchange._await_first(self.live), SendStatus.LATE)
         self.assertGreaterEqual(len(tries), 2)
         self.assertLessEqual(len(tries), 4)
 
@@ -134,7 +134,7 @@
         self.end = self.exchange.sends.start(send)
 
     def test_a_request_to_an_endpoint_that_asked_for_a_rest_meanwhile(self):
-        self.assertIs(self.end, SendEnd.NOT_SENT)
+        self.assertIs(self.end, SendStatus.NOT_SENT)
         self.assertEqual(self.pool.connection.written, [])
         self.assertEqual(self.pool.kept, [self.pool.connection])
 
@@ -145,7 +145,7 @@
     def test_it_goes_elsewhere_without_a_retry_of_the_budget(self):
         self.runner.dispatcher.retries.tokens = 0.0
         now = self.runner.clock()
-        retry = self.runner.dispatcher.retry(self.ticket, SendEnd.NOT_SENT, now)
+        retry = self.runner.dispatcher.retry(self.ticket, SendStatus.NOT_SENT, now)
         self.assertIsInstance(retry[0], LoadQuery)
         self.assertEqual(self.runner.dispatcher.retries.tokens, 0.0)
 
@@ -162,11 +162,11 @@
 class StepTests(unittest.TestCase):
     def test_an_end_is_told_with_the_rest_that_its_answer_asks_for(self):
         response = EndpointResponse(None, "GET")
-        self.assertEqual(describe_end(SendEnd.REFUSED, response), "refused")
+        self.assertEqual(describe_end(SendStatus.REFUSED, response), "refused")
         response.headers = [("retry-after", "3")]
-        told = describe_end(SendEnd.REFUSED, response)
+        told = describe_end(SendStatus.REFUSED, response)
         self.assertEqual(told, "refused retry-after 3")
-        self.assertEqual(describe_end(SendEnd.LOST, None), "lost")
+        self.assertEqual(describe_end(SendStatus.LOST, None), "lost")
 
 
 class SettledSendTests(unittest.TestCase):
@@ -211,4 +211,4 @@
             live = self.exchange.sends.start(send)
         self.assertFalse(live.settled)
         self.assertEqual(self.pool.discarded, [])
-        self.exchange.sends.end(live, SendResult(SendEnd.CANCELLED))
+        self.exchange.sends.end(live, SendResult(SendStatus.CANCELLED))
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_guarded.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_guarded.py
@@ -3,7 +3,13 @@
 import unittest
 
 from hingesill_core.reasons import Outcome, RefusalReason, RetryReason
-from hingesill_core.routing.messages import Refusal, Send, SendEnd, SendResult, Ticket
+from hingesill_core.routing.messages import (
+    Refusal,
+    Send,
+    SendResult,
+    SendStatus,
+    Ticket,
+)
 from hingesill_node.datapath.exchange import Exchange
 from hingesill_node.datapath.messages import Body, CallerRequest, LiveSend
 from hingesill_node.datapath.tests.test_loadqueries import ROUTE, build_runner
@@ -60,7 +66,7 @@
         self.ticket.exposed = True
         self.end(2.0, 1.9)
         self.guard.note_lost(self.request, "i1", "127.0.0.1:1")
-        decision = self.exchange._decide_after(SendEnd.LOST)
+        decision = self.exchange._decide_after(SendStatus.LOST)
         self.assertIsInstance(decision, Refusal)
         counts = self.exchange.counters.list_counts("retries")
         self.assertEqual([c[1] for c in counts], [RetryReason.DENIED_ENDINGS.value])
@@ -68,11 +74,11 @@
     def test_an_endpoints_own_fault_says_that_it_lived(self):
         self.end(3.0, 1.5, 0.0)
         live = LiveSend(self.start_send(), self.runner.find_pool("i1"))
-        self.exchange.sends.end(live, SendResult(SendEnd.FAULT))
+        self.exchange.sends.end(live, SendResult(SendStatus.FAULT))
         self.assertIsNone(self.guard.find_refusal(self.request))
 
     def test_a_refusal_of_the_endpoint_says_nothing(self):
         self.end(3.0, 1.5, 0.0)
         live = LiveSend(self.start_send(), self.runner.find_pool("i1"))
-        self.exchange.sends.end(live, SendResult(SendEnd.REFUSED))
+        self.exchange.sends.end(live, SendResult(SendStatus.REFUSED))
         self.assertIsNotNone(self.guard.find_refusal(self.request))
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
@@ -16,7 +16,7 @@
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.loadqueries import LoadQuery
-from hingesill_core.routing.messages import Send, SendEnd, SendResult, Ticket
+from hingesill_core.routing.messages import Send, SendResult, SendStatus, Ticket
 from hingesill_node.datapath.hedges import AskedHedge
 from hingesill_node.datapath.messages import Body, CallerRequest
 from hingesill_node.datapath.responses import EndpointResponse
@@ -132,7 +132,7 @@
         state = self.runner.dispatcher.states["i1"]
         now = self.runner.clock()
         send = self.runner.dispatcher.start_send(other, state, now)
-        result = SendResult(SendEnd.ANSWERED, self.report(running))
+        result = SendResult(SendStatus.ANSWERED, self.report(running))
         self.runner.settle(send, result)
 
     def test_the_slot_that_an_answer_frees_goes_to_who_waits(self):
--- a/packages/hingesill-node/hingesill_node/datapath/transport.py
+++ b/packages/hingesill-node/hingesill_node/datapath/transport.py
@@ -1,6 +1,6 @@
 """One send: the request to an endpoint and the head of its answer."""
 
-from hingesill_core.routing.messages import SendEnd, SendResult
+from hingesill_core.routing.messages import SendResult, SendStatus
 from hingesill_node.datapath.waits import WaitTimeout
 
 __all__ = ["BodyFailed", "TRANSPORT_ERRORS", "connect", "read_result", "send_request"]
@@ -150,7 +150,7 @@
 def classify_answer(status, signals):
     """Return how a send ended that brought a whole head."""
     if signals.not_run:
-        return SendEnd.REFUSED
+        return SendStatus.REFUSED
     if status >= FIRST_FAULT_STATUS:
-        return SendEnd.FAULT
-    return SendEnd.ANSWERED
+        return SendStatus.FAULT
+    return SendStatus.ANSWERED
