--- a/packages/hingesill-core/hingesill_core/routing/usualtimes.py
+++ b/packages/hingesill-core/hingesill_core/routing/baselinelatency.py
@@ -2,15 +2,15 @@
 
 from math import exp, log
 
-from hingesill_core.routing.levels import (
+from hingesill_core.routing.concurrencylevels import (
     FEWEST_ANSWERS,
     MOST_ANSWERS,
-    Level,
+    ConcurrencyLevel,
     combine,
 )
-from hingesill_core.routing.profile import UsualTime
+from hingesill_core.routing.profile import BaselineLatency
 
-__all__ = ["MOST_RATIO", "UsualTimes"]
+__all__ = ["MOST_RATIO", "BaselineLatencies"]
 
 # Smallest ratio to the route's usual time that counts: faster answers did not do the
 # usual work, as after an immediate failure.
@@ -21,7 +21,7 @@
 LEAST_SECONDS = 0.0001
 
 
-class UsualTimes:
+class BaselineLatencies:
     """How long the answers of each route take, over all levels.
 
     Notes
@@ -43,15 +43,15 @@
             key: usual for key, usual in self._by_route.items() if key in self._kept
         }
 
-    def take_news(self, now):
+    def take_unreported(self, now):
         """Return what `build` does; nothing if no answer came since the last call."""
         had, self._has_new_answers = self._has_new_answers, False
         return self.build(now) if had else ()
 
     def build(self, now):
-        """Return the tuple of UsualTime of all routes with answers."""
+        """Return the tuple of BaselineLatency of all routes with answers."""
         return tuple(
-            UsualTime(*key, usual.count(now), usual.mean)
+            BaselineLatency(*key, usual.count(now), usual.mean)
             for key, usual in sorted(self._by_route.items())
         )
 
@@ -60,7 +60,7 @@
 
         Parameters
         ----------
-        usual_times : iterable of UsualTime
+        usual_times : iterable of BaselineLatency
             Of that node.
         now : float
             Seconds of the node's clock.
@@ -68,7 +68,9 @@
         for told in usual_times:
             key = (told.host, told.method, told.path)
             if key in self._kept and told.answers > 0:
-                level = Level(min(MOST_ANSWERS, told.answers), told.mean, now)
+                level = ConcurrencyLevel(
+                    min(MOST_ANSWERS, told.answers), told.mean, now
+                )
                 self._by_route[key] = combine((self._by_route.get(key), level), now)
 
     def adopt(self, usual_times, now):
@@ -76,7 +78,7 @@
 
         Parameters
         ----------
-        usual_times : iterable of UsualTime
+        usual_times : iterable of BaselineLatency
             Of the fleet.
         now : float
             Seconds of the node's clock.
@@ -93,9 +95,9 @@
             self._told.add(key)
             own = self._by_route.get(key)
             if own is None or own.answers < FEWEST_ANSWERS:
-                self._by_route[key] = Level(FEWEST_ANSWERS, told.mean, now)
+                self._by_route[key] = ConcurrencyLevel(FEWEST_ANSWERS, told.mean, now)
 
-    def has_news(self):
+    def has_unpublished(self):
         """Tell whether enough is known of a route that the fleet does not know."""
         return any(
             usual.answers >= FEWEST_ANSWERS and key not in self._told
@@ -120,7 +122,7 @@
             None as long as little is known, or if no usual work was done.
         """
         self._has_new_answers = True
-        usual = self._by_route.setdefault(get_key(route), Level())
+        usual = self._by_route.setdefault(get_key(route), ConcurrencyLevel())
         value = log(max(seconds, LEAST_SECONDS))
         if usual.answers < FEWEST_ANSWERS:
             usual.note(value, now)
--- a/packages/hingesill-core/hingesill_core/routing/levels.py
+++ b/packages/hingesill-core/hingesill_core/routing/concurrencylevels.py
@@ -14,7 +14,7 @@
     "FEWEST_ANSWERS",
     "HALF_LIFE",
     "MOST_ANSWERS",
-    "Level",
+    "ConcurrencyLevel",
     "combine",
     "find_usable",
 ]
@@ -35,7 +35,7 @@
 CERTAINTY = 0.75
 
 
-class Level(Struct):
+class ConcurrencyLevel(Struct):
     """Answers of sends that found so many slots taken.
 
     Attributes
@@ -69,9 +69,9 @@
     counts = [level.count(now) for level in levels]
     total = sum(counts)
     if not total:
-        return Level(noted_at=now)
+        return ConcurrencyLevel(noted_at=now)
     means = (level.mean * count for level, count in zip(levels, counts))
-    return Level(min(MOST_ANSWERS, total), sum(means) / total, now)
+    return ConcurrencyLevel(min(MOST_ANSWERS, total), sum(means) / total, now)
 
 
 class Block(Struct):
--- a/packages/hingesill-core/hingesill_core/routing/slotknowledge.py
+++ b/packages/hingesill-core/hingesill_core/routing/concurrencymodel.py
@@ -5,11 +5,14 @@
 store tells all nodes.
 """
 
-from hingesill_core.routing.curves import SlotCurves, conclude
+from hingesill_core.routing.baselinelatency import BaselineLatencies
+from hingesill_core.routing.latencycurves import (
+    LatencyCurves,
+    compute_concurrency_limits,
+)
 from hingesill_core.routing.profile import ServiceProfile
-from hingesill_core.routing.usualtimes import UsualTimes
 
-__all__ = ["SlotKnowledge"]
+__all__ = ["ConcurrencyModel"]
 
 # Share of new answers from which on the profile is published again.
 LEAST_NEWS = 0.25
@@ -18,18 +21,18 @@
 SETTLED_ANSWERS = 100
 
 
-class SlotKnowledge:
+class ConcurrencyModel:
     """How answer times of one service grow with the taken slots of its endpoints.
 
     Parameters
     ----------
-    pooled : SlotCurves or None
+    pooled : LatencyCurves or None
         Of all services of the node.
     """
 
     def __init__(self, pooled=None):
-        self.curves = SlotCurves(pooled)
-        self.usual_times = UsualTimes()
+        self.curves = LatencyCurves(pooled)
+        self.usual_times = BaselineLatencies()
 
     def note_answer(self, route, seconds, occupied, slots, now):
         """Take an answer.
@@ -51,39 +54,39 @@
         if ratio is not None:
             self.curves.note(occupied, slots, ratio, now)
 
-    def get_usable(self, slots, now):
+    def get_concurrency_limit(self, slots, now):
         """Return how many of an endpoint's slots are worth taking."""
-        return self.curves.get_usable(slots, now)
+        return self.curves.get_concurrency_limit(slots, now)
 
     def is_stable(self, now):
         """Tell whether the fleet knows so much that single answers add little."""
-        return self.curves.count_told(now) >= SETTLED_ANSWERS
+        return self.curves.count_published(now) >= SETTLED_ANSWERS
 
-    def is_worth_telling(self, now):
+    def should_publish(self, now):
         """Tell whether the fleet should know what is known here."""
-        if self.usual_times.has_news():
+        if self.usual_times.has_unpublished():
             return True
-        if self.curves.get_news_share(now) <= LEAST_NEWS:
+        if self.curves.get_unpublished_share(now) <= LEAST_NEWS:
             return False
         if not self.is_stable(now):
             return True
-        told = conclude(self.curves.list_told(now))
-        return conclude(self.curves.list_levels(now)) != told
+        told = compute_concurrency_limits(self.curves.list_published(now))
+        return compute_concurrency_limits(self.curves.list_levels(now)) != told
 
     def build_profile(self, now):
         """Return the ServiceProfile of all that is known."""
         levels = self.curves.list_levels(now)
         return ServiceProfile(levels, self.usual_times.build(now))
 
-    def take_news(self, now):
+    def take_unreported(self, now):
         """Return the ServiceProfile of own answers for the relay, or None."""
-        levels = self.curves.take_news(now)
-        usual_times = self.usual_times.take_news(now)
+        levels = self.curves.take_unreported(now)
+        usual_times = self.usual_times.take_unreported(now)
         return ServiceProfile(levels, usual_times) if levels or usual_times else None
 
-    def add_news(self, profile, now):
+    def merge_report(self, profile, now):
         """Take the ServiceProfile of another node's answers."""
-        self.curves.add_news(profile.levels, now)
+        self.curves.merge_report(profile.levels, now)
         self.usual_times.merge(profile.usual_times, now)
 
     def adopt(self, profile, now):
@@ -91,7 +94,7 @@
         self.curves.adopt(profile.levels, now)
         self.usual_times.adopt(profile.usual_times, now)
 
-    def mark_told(self, profile, now):
+    def mark_published(self, profile, now):
         """Note that the fleet knows a ServiceProfile with all that is known here."""
-        self.curves.mark_told(profile.levels, now)
+        self.curves.mark_published(profile.levels, now)
         self.usual_times.adopt(profile.usual_times, now)
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -38,7 +38,7 @@
         Source of all random choices.
     query_pool : QueryBudget or None
         Shared with other services of the node.
-    curves : SlotCurves or None
+    curves : LatencyCurves or None
         Of all services of the node.
     limits : ServiceLimits or None
         What the service's endpoints in need still take; of this node alone if None.
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -5,6 +5,7 @@
 from hingesill_core.limits.dequeueinterval import DequeueInterval
 from hingesill_core.limits.querybudget import QueryBudget
 from hingesill_core.reasons import RefusalReason
+from hingesill_core.routing.concurrencymodel import ConcurrencyModel
 from hingesill_core.routing.limitedwaiting import LimitedWaiting
 from hingesill_core.routing.loadqueries import (
     LoadQuery,
@@ -14,7 +15,6 @@
 )
 from hingesill_core.routing.messages import SendStatus
 from hingesill_core.routing.selection import EndpointSelection, can_get_work, takes_work
-from hingesill_core.routing.slotknowledge import SlotKnowledge
 from hingesill_core.routing.unhealthyreports import UnhealthyReports
 from hingesill_core.routing.waiting import Waiting
 from hingesill_core.routing.warmup import WarmUpLimit
@@ -33,7 +33,7 @@
         The service's; its endpoints' states are read and written.
     pool : QueryBudget
         Shared by the services of this node whose budgets are pooled.
-    curves : SlotCurves or None
+    curves : LatencyCurves or None
         Of all services of this node.
     rules : QueryRules
         How to ask.
@@ -44,7 +44,7 @@
         self.pool = pool
         self.rules = rules or QueryRules()
         self.budget = QueryBudget()
-        self.slots = SlotKnowledge(curves)
+        self.slots = ConcurrencyModel(curves)
         self.selection = EndpointSelection(dispatcher, self.rules)
         self.dequeue_interval = DequeueInterval()
         self.warm_up = WarmUpLimit()
@@ -228,7 +228,7 @@
         if is_cold and stage is Stage.SELECTIVE:
             return False
         most = self.selection.get_most_slowness()
-        usable = self.slots.get_usable(state.report.slots, now)
+        usable = self.slots.get_concurrency_limit(state.report.slots, now)
         return is_good_enough(state.report, stage, usable, most)
 
     def note_reply(self, reply, now):
--- a/packages/hingesill-core/hingesill_core/routing/curves.py
+++ b/packages/hingesill-core/hingesill_core/routing/latencycurves.py
@@ -4,23 +4,28 @@
 
 from msgspec import Struct, field
 
-from hingesill_core.routing.levels import (
+from hingesill_core.routing.baselinelatency import MOST_RATIO
+from hingesill_core.routing.concurrencylevels import (
     FEWEST_ANSWERS,
     MOST_ANSWERS,
-    Level,
+    ConcurrencyLevel,
     combine,
     find_usable,
 )
 from hingesill_core.routing.profile import LevelProfile
-from hingesill_core.routing.usualtimes import MOST_RATIO
 
-__all__ = ["SlotCurve", "SlotCurves", "conclude", "pool_profiles"]
+__all__ = [
+    "LatencyCurve",
+    "LatencyCurves",
+    "compute_concurrency_limits",
+    "merge_level_profiles",
+]
 
 # Interval at which curves are evaluated, in seconds.
 REVIEW_SECONDS = 0.25
 
 
-class SlotCurve(Struct):
+class LatencyCurve(Struct):
     """How answer times grow with the taken slots of endpoints of one size.
 
     Attributes
@@ -40,14 +45,16 @@
 
     def note(self, number, ratio, now):
         """Take an answer of a send that made so many slots taken."""
-        self.own.setdefault(number, Level()).note(log(min(ratio, MOST_RATIO)), now)
+        self.own.setdefault(number, ConcurrencyLevel()).note(
+            log(min(ratio, MOST_RATIO)), now
+        )
 
     def list_known(self, pooled, now):
         """Return the levels of which enough is known, by number in rising order.
 
         Parameters
         ----------
-        pooled : SlotCurve or None
+        pooled : LatencyCurve or None
             Of all services of the node; it stands in for what is not known of this
             one.
         now : float
@@ -77,12 +84,12 @@
         self.own[number] = combine((self.own.get(number), level), now)
 
 
-class SlotCurves:
+class LatencyCurves:
     """The curves of one service's endpoints, by their number of slots.
 
     Parameters
     ----------
-    pooled : SlotCurves or None
+    pooled : LatencyCurves or None
         Of all services of the node; takes each answer too.
     """
 
@@ -114,10 +121,10 @@
     def _get_curve(self, slots):
         curve = self.curves.get(slots)
         if curve is None:
-            curve = self.curves[slots] = SlotCurve(slots)
+            curve = self.curves[slots] = LatencyCurve(slots)
         return curve
 
-    def get_usable(self, slots, now):
+    def get_concurrency_limit(self, slots, now):
         """Return how many of an endpoint's slots are worth taking.
 
         Parameters
@@ -135,16 +142,16 @@
 
     def _find_usable(self, slots, now):
         pooled = self.pooled.curves.get(slots) if self.pooled is not None else None
-        curve = self.curves.get(slots) or SlotCurve(slots)
+        curve = self.curves.get(slots) or LatencyCurve(slots)
         return find_usable(curve.list_known(pooled, now), slots)
 
-    def get_news_share(self, now):
+    def get_unpublished_share(self, now):
         """Return the share of the known answers that other nodes do not know of."""
         own = count_answers((curve.own for curve in self.curves.values()), now)
-        told = self.count_told(now)
+        told = self.count_published(now)
         return own / (own + told) if own >= FEWEST_ANSWERS else 0.0
 
-    def count_told(self, now):
+    def count_published(self, now):
         """Return how many answers the fleet knows of."""
         return count_answers((curve.told for curve in self.curves.values()), now)
 
@@ -156,7 +163,7 @@
             for number in sorted(curve.list_numbers())
         )
 
-    def list_told(self, now):
+    def list_published(self, now):
         """Return a LevelProfile of what the fleet knows of each level."""
         return tuple(
             build_level(slots, number, level)
@@ -164,7 +171,7 @@
             for number, level in sorted(curve.told.items())
         )
 
-    def take_news(self, now):
+    def take_unreported(self, now):
         """Return a LevelProfile of each level of own answers, now the relay's to tell.
 
         Parameters
@@ -185,7 +192,7 @@
             curve.own.clear()
         return tuple(news)
 
-    def add_news(self, levels, now):
+    def merge_report(self, levels, now):
         """Take another node's answers as own ones.
 
         Parameters
@@ -200,7 +207,7 @@
             if 0 < told.level <= told.slots and told.answers > 0:
                 most = log(MOST_RATIO)
                 mean = max(-most, min(most, told.mean))
-                level = Level(min(MOST_ANSWERS, told.answers), mean, now)
+                level = ConcurrencyLevel(min(MOST_ANSWERS, told.answers), mean, now)
                 self._get_curve(told.slots).add(told.level, level, now)
 
     def adopt(self, levels, now):
@@ -214,13 +221,13 @@
             Seconds of the node's clock.
         """
         for told in levels:
-            level = Level(min(MOST_ANSWERS, told.answers), told.mean, now)
+            level = ConcurrencyLevel(min(MOST_ANSWERS, told.answers), told.mean, now)
             self._get_curve(told.slots).told[told.level] = level
         for curve in self.curves.values():
             curve.reported.clear()
         self._usable.clear()
 
-    def mark_told(self, levels, now):
+    def mark_published(self, levels, now):
         """Note that other nodes know of all own answers by some LevelProfiles."""
         for curve in self.curves.values():
             curve.own.clear()
@@ -237,12 +244,12 @@
     return sum(level.count(now) for levels in curves for level in levels.values())
 
 
-def pool_profiles(profiles):
+def merge_level_profiles(profiles):
     """Return the LevelProfiles of the answers of several ServiceProfiles."""
     groups = {}
     for profile in profiles:
         for told in profile.levels:
-            level = Level(told.answers, told.mean)
+            level = ConcurrencyLevel(told.answers, told.mean)
             groups.setdefault((told.slots, told.level), []).append(level)
     pooled = {key: combine(levels, 0.0) for key, levels in groups.items()}
     return tuple(
@@ -251,8 +258,8 @@
     )
 
 
-def conclude(levels):
+def compute_concurrency_limits(levels):
     """Return what LevelProfiles say: the usable slots by the endpoint's slots."""
-    curves = SlotCurves()
+    curves = LatencyCurves()
     curves.adopt(levels, 0.0)
-    return {slots: curves.get_usable(slots, 0.0) for slots in curves.curves}
+    return {slots: curves.get_concurrency_limit(slots, 0.0) for slots in curves.curves}
--- a/packages/hingesill-core/hingesill_core/routing/profile.py
+++ b/packages/hingesill-core/hingesill_core/routing/profile.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, field
 
-__all__ = ["LevelProfile", "Profile", "ServiceProfile", "UsualTime"]
+__all__ = ["LevelProfile", "Profile", "ServiceProfile", "BaselineLatency"]
 
 
 class LevelProfile(Struct, frozen=True):
@@ -24,7 +24,7 @@
     mean: float
 
 
-class UsualTime(Struct, frozen=True):
+class BaselineLatency(Struct, frozen=True):
     """How long the answers of one route usually take.
 
     Parameters
@@ -51,12 +51,12 @@
     ----------
     levels : tuple of LevelProfile
         How answer times grow with the taken slots.
-    usual_times : tuple of UsualTime
+    usual_times : tuple of BaselineLatency
         Of the service's routes.
     """
 
     levels: tuple[LevelProfile, ...] = ()
-    usual_times: tuple[UsualTime, ...] = ()
+    usual_times: tuple[BaselineLatency, ...] = ()
 
 
 class Profile(Struct, frozen=True):
--- a/packages/hingesill-core/hingesill_core/routing/tests/loadplay.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/loadplay.py
@@ -122,9 +122,9 @@
         """Let a node tell its relay what it has learnt."""
         if not node.is_alive or self.now > self.load.seconds:
             return
-        news = node.slots.take_news(self.now)
+        news = node.slots.take_unreported(self.now)
         if news is not None:
-            relay.slots.add_news(news, self.now)
+            relay.slots.merge_report(news, self.now)
         is_stable = node.slots.is_stable(self.now)
         pause = REPORT_SECONDS if is_stable else FIRST_REPORT_SECONDS
         self.after(pause, self._report, node, relay)
@@ -133,9 +133,9 @@
         """Let a relay keep what is worth telling."""
         if not relay.is_alive or self.now > self.load.seconds:
             return
-        if relay.slots.is_worth_telling(self.now):
+        if relay.slots.should_publish(self.now):
             self.profile = relay.slots.build_profile(self.now)
-            relay.slots.mark_told(self.profile, self.now)
+            relay.slots.mark_published(self.profile, self.now)
             self.tellings += 1
             self.after(TELLING_SECONDS, self._tell_all, self.nodes, self.profile)
         self.after(REVIEW_SECONDS, self._review, relay)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_levels.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_concurrencylevels.py
@@ -6,13 +6,17 @@
 from msgspec.structs import replace
 
 from hingesill_core.configuration.services import Route
-from hingesill_core.routing.curves import SlotCurves, pool_profiles
-from hingesill_core.routing.levels import FEWEST_ANSWERS, HALF_LIFE, MOST_ANSWERS
+from hingesill_core.routing.baselinelatency import MOST_RATIO, BaselineLatencies
+from hingesill_core.routing.concurrencylevels import (
+    FEWEST_ANSWERS,
+    HALF_LIFE,
+    MOST_ANSWERS,
+)
+from hingesill_core.routing.concurrencymodel import SETTLED_ANSWERS, ConcurrencyModel
+from hingesill_core.routing.latencycurves import LatencyCurves, merge_level_profiles
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.loadqueries import Stage, is_good_enough
-from hingesill_core.routing.profile import LevelProfile, ServiceProfile, UsualTime
-from hingesill_core.routing.slotknowledge import SETTLED_ANSWERS, SlotKnowledge
-from hingesill_core.routing.usualtimes import MOST_RATIO, UsualTimes
+from hingesill_core.routing.profile import BaselineLatency, LevelProfile, ServiceProfile
 
 # After the answers that `build_curves` makes, in seconds.
 LATER = 6.0
@@ -20,7 +24,7 @@
 
 def build_curves(slots, times, answers=60):
     """Return curves that took answers of each level in turn, ten a second."""
-    curves = SlotCurves()
+    curves = LatencyCurves()
     for turn in range(answers):
         for level, ratio in enumerate(times, 1):
             curves.note(level, slots, ratio, turn / 10)
@@ -34,50 +38,53 @@
 
 class SlotCurvesTests(unittest.TestCase):
     def test_without_answers_all_slots_are_taken(self):
-        self.assertEqual(SlotCurves().get_usable(6, LATER), 6)
+        self.assertEqual(LatencyCurves().get_concurrency_limit(6, LATER), 6)
 
     def test_endpoints_that_get_no_slower_are_filled(self):
         for slots, times in ((3, (1, 1, 1.1)), (6, (1, 1, 1, 1.05, 1.1, 1.15))):
             with self.subTest(slots=slots):
                 self.assertEqual(
-                    build_curves(slots, times).get_usable(slots, LATER), slots
+                    build_curves(slots, times).get_concurrency_limit(slots, LATER),
+                    slots,
                 )
 
     def test_a_slow_last_slot_is_left_free(self):
-        self.assertEqual(build_curves(3, (1, 1, 1.7)).get_usable(3, LATER), 2)
+        self.assertEqual(
+            build_curves(3, (1, 1, 1.7)).get_concurrency_limit(3, LATER), 2
+        )
 
     def test_all_slow_levels_are_left_free(self):
         times = (1, 1, 1, 1, 1.7, 1.7)
-        self.assertEqual(build_curves(6, times).get_usable(6, LATER), 4)
+        self.assertEqual(build_curves(6, times).get_concurrency_limit(6, LATER), 4)
 
     def test_the_level_before_a_steep_one_is_found(self):
         times = (1, 1, 1, 1, 1, 1, 1.2, 3.0)
-        self.assertEqual(build_curves(8, times).get_usable(8, LATER), 6)
+        self.assertEqual(build_curves(8, times).get_concurrency_limit(8, LATER), 6)
 
     def test_a_level_that_looks_faster_than_lower_ones_counts_with_them(self):
         curves = build_curves(6, (1, 1, 1, 1, 1.7, 1.7))
         for turn in range(8):
             curves.note(6, 6, 0.7, LATER)
-        self.assertEqual(curves.get_usable(6, LATER), 4)
+        self.assertEqual(curves.get_concurrency_limit(6, LATER), 4)
 
     def test_few_answers_say_nothing(self):
         curves = build_curves(3, (1, 1, 9.0), FEWEST_ANSWERS - 1)
-        self.assertEqual(curves.get_usable(3, LATER), 3)
+        self.assertEqual(curves.get_concurrency_limit(3, LATER), 3)
 
     def test_a_level_that_is_no_longer_used_is_tried_again(self):
         curves = build_curves(3, (1, 1, 1.7))
         later = LATER + 10 * HALF_LIFE
         for turn in range(60):
             curves.note(2, 3, 1.0, later)
-        self.assertEqual(curves.get_usable(3, LATER), 2)
-        self.assertEqual(curves.get_usable(3, later), 3)
+        self.assertEqual(curves.get_concurrency_limit(3, LATER), 2)
+        self.assertEqual(curves.get_concurrency_limit(3, later), 3)
 
     def test_endpoints_of_each_size_have_their_own(self):
         curves = build_curves(3, (1, 1, 1.7))
-        self.assertEqual(curves.get_usable(6, LATER), 6)
+        self.assertEqual(curves.get_concurrency_limit(6, LATER), 6)
 
     def test_what_cannot_be_is_passed_over(self):
-        curves = SlotCurves()
+        curves = LatencyCurves()
         for level in (0, 4):
             curves.note(level, 3, 1.0, 0.0)
         self.assertEqual(curves.curves, {})
@@ -85,7 +92,7 @@
 
 class UsualTimesTests(unittest.TestCase):
     def rate_all(self, seconds):
-        times = UsualTimes()
+        times = BaselineLatencies()
         return [times.rate(build_route("route"), item, 0.0) for item in seconds]
 
     def test_the_first_answers_only_tell_what_is_usual(self):
@@ -103,7 +110,7 @@
         self.assertGreater(ratios[-1], 1.4)
 
     def test_routes_that_are_gone_are_forgotten(self):
-        times = UsualTimes()
+        times = BaselineLatencies()
         for _ in range(FEWEST_ANSWERS):
             times.rate(build_route("old"), 0.2, 0.0)
             times.rate(build_route("new"), 0.2, 0.0)
@@ -112,7 +119,7 @@
         self.assertIsNotNone(times.rate(build_route("new"), 0.2, 0.0))
 
     def test_routes_have_their_own(self):
-        times = UsualTimes()
+        times = BaselineLatencies()
         for _ in range(FEWEST_ANSWERS):
             times.rate(build_route("fast"), 0.1, 0.0)
             times.rate(build_route("slow"), 1.0, 0.0)
@@ -122,49 +129,51 @@
 class SharedCurvesTests(unittest.TestCase):
     def test_a_node_that_starts_goes_by_what_others_learnt(self):
         profile = build_curves(6, (1, 1, 1, 1, 1.7, 1.7)).list_levels(LATER)
-        started = SlotCurves()
-        self.assertEqual(started.get_usable(6, 0.0), 6)
+        started = LatencyCurves()
+        self.assertEqual(started.get_concurrency_limit(6, 0.0), 6)
         started.adopt(profile, 0.0)
-        self.assertEqual(started.get_usable(6, 0.0), 4)
+        self.assertEqual(started.get_concurrency_limit(6, 0.0), 4)
 
     def test_own_answers_count_beside_what_others_learnt(self):
-        started = SlotCurves()
+        started = LatencyCurves()
         started.adopt(build_curves(6, (1, 1, 1, 1, 1.7, 1.7), 12).list_levels(6.0), 0)
         for turn in range(200):
             for level in (4, 5, 6):
                 started.note(level, 6, 1.0, turn / 100)
-        self.assertEqual(started.get_usable(6, 2.0), 6)
+        self.assertEqual(started.get_concurrency_limit(6, 2.0), 6)
 
     def test_few_answers_of_several_nodes_are_enough_together(self):
         first = build_curves(6, (1, 1, 1, 1, 1.7, 1.7), 5)
-        self.assertEqual(first.get_usable(6, 0.5), 6)
+        self.assertEqual(first.get_concurrency_limit(6, 0.5), 6)
         second = build_curves(6, (1, 1, 1, 1, 1.7, 1.7), 5)
         second.adopt(first.list_levels(0.5), 0.5)
         third = build_curves(6, (1, 1, 1, 1, 1.7, 1.7), 5)
         third.adopt(second.list_levels(0.5), 0.5)
-        self.assertEqual(third.get_usable(6, 0.5), 4)
+        self.assertEqual(third.get_concurrency_limit(6, 0.5), 4)
 
     def test_what_was_told_is_not_counted_twice(self):
         curves = build_curves(3, (1, 1, 1.7), 10)
         profile = curves.list_levels(1.0)
-        curves.mark_told(profile, 1.0)
-        self.assertEqual(curves.get_news_share(1.0), 0.0)
+        curves.mark_published(profile, 1.0)
+        self.assertEqual(curves.get_unpublished_share(1.0), 0.0)
         self.assertEqual(curves.list_levels(1.0), profile)
 
     def test_other_services_of_the_node_stand_in_for_what_is_not_known(self):
-        pooled = SlotCurves()
-        busy, quiet = SlotCurves(pooled), SlotCurves(pooled)
+        pooled = LatencyCurves()
+        busy, quiet = LatencyCurves(pooled), LatencyCurves(pooled)
         for turn in range(60):
             for level, ratio in ((1, 1), (2, 1), (3, 1.7)):
                 busy.note(level, 3, ratio, turn / 10)
-        self.assertEqual(quiet.get_usable(3, LATER), 2)
+        self.assertEqual(quiet.get_concurrency_limit(3, LATER), 2)
 
     def test_a_started_node_knows_of_services_by_what_others_learnt_of_all(self):
         told = build_curves(3, (1, 1, 1.7)).list_levels(LATER)
-        pooled = SlotCurves()
-        quiet = SlotCurves(pooled)
-        pooled.adopt(pool_profiles([ServiceProfile(told), ServiceProfile(told)]), 0.0)
-        self.assertEqual(quiet.get_usable(3, 0.0), 2)
+        pooled = LatencyCurves()
+        quiet = LatencyCurves(pooled)
+        pooled.adopt(
+            merge_level_profiles([ServiceProfile(told), ServiceProfile(told)]), 0.0
+        )
+        self.assertEqual(quiet.get_concurrency_limit(3, 0.0), 2)
 
 
 class ReportingTests(unittest.TestCase):
@@ -174,7 +183,7 @@
 
     def build_knowledge(self):
         """Return what a node knows that has just started."""
-        knowledge = SlotKnowledge()
+        knowledge = ConcurrencyModel()
         knowledge.usual_times.keep([self.ROUTE])
         return knowledge
 
@@ -190,59 +199,59 @@
         nodes = [self.build_knowledge() for _ in range(30)]
         for node in nodes:
             self.learn(node, 6)
-            relay.add_news(node.take_news(1.0), 1.0)
-        self.assertTrue(relay.is_worth_telling(1.0))
+            relay.merge_report(node.take_unreported(1.0), 1.0)
+        self.assertTrue(relay.should_publish(1.0))
         for node in nodes:
             node.adopt(relay.build_profile(1.0), 1.0)
             self.learn(node, 6)
-            relay.add_news(node.take_news(2.0), 2.0)
-        self.assertEqual(nodes[0].get_usable(3, 2.0), 3)
+            relay.merge_report(node.take_unreported(2.0), 2.0)
+        self.assertEqual(nodes[0].get_concurrency_limit(3, 2.0), 3)
         nodes[0].adopt(relay.build_profile(2.0), 2.0)
-        self.assertEqual(nodes[0].get_usable(3, 2.0), 2)
+        self.assertEqual(nodes[0].get_concurrency_limit(3, 2.0), 2)
 
     def test_what_was_reported_counts_until_all_are_told(self):
-        node = SlotKnowledge()
+        node = ConcurrencyModel()
         self.learn(node, 90)
-        self.assertEqual(node.get_usable(3, 9.0), 2)
-        self.assertIsNotNone(node.take_news(9.0))
-        self.assertIsNone(node.take_news(9.0))
-        self.assertEqual(node.get_usable(3, 9.5), 2)
+        self.assertEqual(node.get_concurrency_limit(3, 9.0), 2)
+        self.assertIsNotNone(node.take_unreported(9.0))
+        self.assertIsNone(node.take_unreported(9.0))
+        self.assertEqual(node.get_concurrency_limit(3, 9.5), 2)
         node.adopt(ServiceProfile(), 9.5)
-        self.assertEqual(node.get_usable(3, 9.5), 3)
+        self.assertEqual(node.get_concurrency_limit(3, 9.5), 3)
 
     def test_settled_levels_are_told_again_only_if_they_say_something_else(self):
         half = SETTLED_ANSWERS / 2
         levels = tuple(LevelProfile(3, number, half, 0.0) for number in (1, 2, 3))
         slower = levels[:2] + (LevelProfile(3, 3, half, log(MOST_RATIO)),)
-        for news, is_worth_telling in ((levels, False), (slower, True)):
-            node = SlotKnowledge()
+        for news, should_publish in ((levels, False), (slower, True)):
+            node = ConcurrencyModel()
             node.adopt(ServiceProfile(levels), 0.0)
-            node.curves.add_news(news, 0.0)
-            self.assertIs(node.is_worth_telling(0.0), is_worth_telling)
+            node.curves.merge_report(news, 0.0)
+            self.assertIs(node.should_publish(0.0), should_publish)
 
     def test_what_cannot_be_is_not_taken(self):
-        node = SlotKnowledge()
+        node = ConcurrencyModel()
         levels = (LevelProfile(3, 4, 50.0, 0.0), LevelProfile(3, 0, 50.0, 0.0))
-        node.add_news(ServiceProfile(levels), 0.0)
+        node.merge_report(ServiceProfile(levels), 0.0)
         self.assertEqual(node.curves.list_levels(0.0), ())
 
     def test_one_node_counts_for_no_more_than_a_level_remembers(self):
-        node = SlotKnowledge()
+        node = ConcurrencyModel()
         wild = (LevelProfile(3, 1, 1e9, 99.0),)
-        node.add_news(ServiceProfile(wild), 0.0)
+        node.merge_report(ServiceProfile(wild), 0.0)
         (level,) = node.curves.list_levels(0.0)
         self.assertEqual(level.answers, MOST_ANSWERS)
         self.assertAlmostEqual(level.mean, log(MOST_RATIO))
 
     def test_routes_that_are_not_declared_are_not_taken(self):
         relay = self.build_knowledge()
-        told = UsualTime("", "", "/other/", 50.0, 0.0)
-        relay.add_news(ServiceProfile(usual_times=(told,)), 0.0)
+        told = BaselineLatency("", "", "/other/", 50.0, 0.0)
+        relay.merge_report(ServiceProfile(usual_times=(told,)), 0.0)
         relay.adopt(ServiceProfile(usual_times=(told,)), 0.0)
         self.assertEqual(relay.usual_times.build(0.0), ())
 
     def test_a_route_with_another_limit_is_the_same_route(self):
-        times = UsualTimes()
+        times = BaselineLatencies()
         for _ in range(FEWEST_ANSWERS):
             times.rate(self.ROUTE, 0.2, 0.0)
         changed = replace(self.ROUTE, timeout=5.0)
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -39,7 +39,7 @@
         Told of endpoints that leave and of overdue answers.
     query_pool : QueryBudget or None
         Shared with other services of the node.
-    curves : SlotCurves or None
+    curves : LatencyCurves or None
         Of all services of the node.
     clock : callable
         Monotonic seconds.
--- a/packages/hingesill-node/hingesill_node/datapath/runnertable.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runnertable.py
@@ -5,7 +5,7 @@
 from hingesill_core.limits.querybudget import QueryBudget
 from hingesill_core.ratelimits.fleet import FleetLimits
 from hingesill_core.routing.availability import AvailabilityBook
-from hingesill_core.routing.curves import SlotCurves, pool_profiles
+from hingesill_core.routing.latencycurves import LatencyCurves, merge_level_profiles
 from hingesill_core.routing.profile import Profile
 from hingesill_node.crashes.requestguard import RequestGuard
 from hingesill_node.datapath.availabilitylog import AvailabilityLog
@@ -35,7 +35,7 @@
         self.clock = clock
         self.runners = {}
         self.query_pool = QueryBudget()
-        self.curves = SlotCurves()
+        self.curves = LatencyCurves()
         self.guard = RequestGuard()
         self.limits = FleetLimits(rng, log_limit, self._is_declared)
         self.availability_log = AvailabilityLog(clock)
@@ -114,7 +114,7 @@
     def refresh_profile(self):
         """Let all runners know what other nodes have learnt."""
         services = self.blackboard.profile.services.values()
-        self.curves.adopt(pool_profiles(services), self.clock())
+        self.curves.adopt(merge_level_profiles(services), self.clock())
         for runner in self.runners.values():
             self._apply_profile(runner)
 
@@ -124,16 +124,16 @@
         if profile is not None:
             runner.slots.adopt(profile, self.clock())
 
-    def list_news(self):
+    def list_unpublished(self):
         """Return the names of services of which the fleet should know more."""
         now = self.clock()
         return [
             name
             for name, runner in self.runners.items()
-            if runner.slots.is_worth_telling(now)
+            if runner.slots.should_publish(now)
         ]
 
-    def take_news(self, only_urgent):
+    def take_unreported(self, only_urgent):
         """Return a Profile of own answers for the relay, or None if there are none.
 
         Parameters
@@ -143,26 +143,26 @@
         """
         now = self.clock()
         news = {
-            name: runner.slots.take_news(now)
+            name: runner.slots.take_unreported(now)
             for name, runner in self.runners.items()
             if not (only_urgent and runner.slots.is_stable(now))
         }
         news = {name: profile for name, profile in news.items() if profile is not None}
         return Profile(news) if news else None
 
-    def add_news(self, profile):
+    def merge_report(self, profile):
         """Take a Profile of another node's answers; of unknown services nothing."""
         now = self.clock()
         for name, news in profile.services.items():
             if name in self.blackboard.configuration.services:
-                self.get(name).slots.add_news(news, now)
+                self.get(name).slots.merge_report(news, now)
 
     def build_profiles(self, names):
         """Return the ServiceProfile of each of the services."""
         now = self.clock()
         return {name: self.runners[name].slots.build_profile(now) for name in names}
 
-    def mark_told(self, profiles):
+    def mark_published(self, profiles):
         """Note that others know all that is known here of some services.
 
         Parameters
@@ -173,7 +173,7 @@
         now = self.clock()
         for name, profile in profiles.items():
             if name in self.runners:
-                self.runners[name].slots.mark_told(profile, now)
+                self.runners[name].slots.mark_published(profile, now)
 
     def note_suspicion(self, endpoint, ratio):
         """Take another node's word on an endpoint."""
--- a/packages/hingesill-node/hingesill_node/discovery/control.py
+++ b/packages/hingesill-node/hingesill_node/discovery/control.py
@@ -119,7 +119,7 @@
         application = PeerApplication(
             follower.directory,
             follower.feed,
-            runners.add_news,
+            runners.merge_report,
             lambda: follower.is_sure,
         )
         start_server(listener, application)
--- a/packages/hingesill-node/hingesill_node/discovery/peers.py
+++ b/packages/hingesill-node/hingesill_node/discovery/peers.py
@@ -61,7 +61,7 @@
         What it holds.
     feed : Feed
         Its streams to followers.
-    add_news : callable
+    merge_report : callable
         Takes the Profile of a follower's answers.
     is_sure : callable
         Tells whether this node has been told by others; one that starts does not pass
@@ -69,11 +69,11 @@
     """
 
     def __init__(
-        self, directory, feed, add_news=lambda profile: None, is_sure=lambda: True
+        self, directory, feed, merge_report=lambda profile: None, is_sure=lambda: True
     ):
         self.directory = directory
         self.feed = feed
-        self.add_news = add_news
+        self.merge_report = merge_report
         self.is_sure = is_sure
 
     def __call__(self, environ, start_response):
@@ -123,7 +123,7 @@
             log_event(Event.REPORT_INVALID, detail=str(error))
             start_response("400 Bad Request", [])
             return [b""]
-        self.add_news(profile)
+        self.merge_report(profile)
         start_response("204 No Content", [])
         return [b""]
 
--- a/packages/hingesill-node/hingesill_node/discovery/profiles.py
+++ b/packages/hingesill-node/hingesill_node/discovery/profiles.py
@@ -6,7 +6,7 @@
 
 import eventlet
 
-from hingesill_core.routing.curves import conclude
+from hingesill_core.routing.latencycurves import compute_concurrency_limits
 from hingesill_core.routing.profile import Profile
 from hingesill_core.store import StoreFailure
 from hingesill_node.telemetry.events import Event, log_event
@@ -64,7 +64,7 @@
 
     def review(self):
         """Write the profile if this node has learnt enough that others don't know."""
-        news = self.runners.list_news()
+        news = self.runners.list_unpublished()
         if not news:
             return
         self._write_from = self.clock() + PAUSE_SECONDS
@@ -73,10 +73,12 @@
         if isinstance(answer, StoreFailure):
             log_event(Event.PROFILE_NOT_KEPT, detail=answer.reason)
             return
-        self.runners.mark_told(learnt)
+        self.runners.mark_published(learnt)
         log_event(
             Event.PROFILE_KEPT,
-            usable_slots={name: conclude(learnt[name].levels) for name in news},
+            usable_slots={
+                name: compute_concurrency_limits(learnt[name].levels) for name in news
+            },
             levels={name: describe_levels(learnt[name]) for name in news},
         )
 
--- a/packages/hingesill-node/hingesill_node/discovery/reports.py
+++ b/packages/hingesill-node/hingesill_node/discovery/reports.py
@@ -64,7 +64,7 @@
         only_urgent = self.clock() < self._all_from
         if not only_urgent:
             self._all_from = self.clock() + REPORT_SECONDS
-        news = self.runners.take_news(only_urgent)
+        news = self.runners.take_unreported(only_urgent)
         if news is None:
             return
         connection = EndpointConnection(relay.address)
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_profiles.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_profiles.py
@@ -10,8 +10,8 @@
     DeclaredService,
     Snapshot,
 )
+from hingesill_core.routing.concurrencymodel import ConcurrencyModel
 from hingesill_core.routing.profile import LevelProfile, Profile, ServiceProfile
-from hingesill_core.routing.slotknowledge import SlotKnowledge
 from hingesill_core.store import StoreFailure
 from hingesill_node.discovery.codec import decode_snapshot, encode
 from hingesill_node.discovery.profiles import PAUSE_SECONDS, ProfileStore
@@ -35,21 +35,21 @@
     """One service with what is known of it at the node."""
 
     def __init__(self):
-        self.slots = SlotKnowledge()
+        self.slots = ConcurrencyModel()
 
     def learn(self, answers):
         for _ in range(answers):
             for level, ratio in ((1, 1.0), (2, 1.0), (3, 1.7)):
                 self.slots.curves.note(level, 3, ratio, 0.0)
 
-    def list_news(self):
-        return ["busy"] if self.slots.is_worth_telling(0.0) else []
+    def list_unpublished(self):
+        return ["busy"] if self.slots.should_publish(0.0) else []
 
     def build_profiles(self, names):
         return {name: self.slots.build_profile(0.0) for name in names}
 
-    def mark_told(self, profiles):
-        self.slots.mark_told(profiles["busy"], 0.0)
+    def mark_published(self, profiles):
+        self.slots.mark_published(profiles["busy"], 0.0)
 
 
 class ProfileKeeperTests(unittest.TestCase):
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
@@ -192,7 +192,7 @@
     def report(self, relay):
         Reporter(lambda: relay, self).report()
 
-    def take_news(self, only_urgent):
+    def take_unreported(self, only_urgent):
         return self.news.pop()
 
     def test_a_relay_takes_what_a_follower_has_learnt(self):
