--- a/packages/hingesill-core/hingesill_core/discovery/relays.py
+++ b/packages/hingesill-core/hingesill_core/discovery/relays.py
@@ -49,7 +49,7 @@
 
     Attributes
     ----------
-    resting_until : dict
+    backoff_until : dict
         Until when a relay that failed is passed over, by name, in seconds of the
         node's clock.
     failures : dict
@@ -63,7 +63,7 @@
 
     own: object
     rng: object
-    resting_until: dict = field(default_factory=dict)
+    backoff_until: dict = field(default_factory=dict)
     failures: dict = field(default_factory=dict)
     _nodes: dict | None = None
     _relays: list = field(default_factory=list)
@@ -104,7 +104,7 @@
         if any(relay.name == self.own.name for relay in relays):
             return None
         usable = [
-            relay for relay in relays if self.resting_until.get(relay.name, now) <= now
+            relay for relay in relays if self.backoff_until.get(relay.name, now) <= now
         ]
         near = [r for r in usable if r.data_centre == self.own.data_centre]
         choices = near or usable
@@ -115,7 +115,7 @@
         failures = self.failures.get(relay.name, 0)
         self.failures[relay.name] = failures + 1
         rest = min(LONGEST_REST, FIRST_REST * 2**failures)
-        self.resting_until[relay.name] = now + rest
+        self.backoff_until[relay.name] = now + rest
 
     def note_success(self, relay):
         """Forget the failures of a relay that serves this node."""
@@ -124,4 +124,4 @@
     def forget_failures(self):
         """Try all relays again: what kept them from serving may be over."""
         self.failures.clear()
-        self.resting_until.clear()
+        self.backoff_until.clear()
--- a/packages/hingesill-core/hingesill_core/probing/probetarget.py
+++ b/packages/hingesill-core/hingesill_core/probing/probetarget.py
@@ -33,11 +33,11 @@
     for state in dispatcher.states.values():
         if state.in_flight:
             continue
-        if state.availability.is_leave_ending(now):
+        if state.availability.needs_leave_renewal(now):
             return state.identity
         if not takes_work(state, now):
             continue
-        if state.health.needs_trial(now):
+        if state.health.is_trial_due(now):
             return state.identity
         unheard = now - max(state.last_heard or 0.0, state.last_probe)
         if state.health.is_open() and unheard > longest:
--- a/packages/hingesill-core/hingesill_core/ratelimits/reportedlimits.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/reportedlimits.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-__all__ = ["LimitBook", "ReportedLimit", "NO_LIMIT", "NamedLimit", "UNREADABLE_LIMIT"]
+__all__ = ["LimitBook", "ReportedLimit", "NO_LIMIT", "ParsedLimit", "INVALID_LIMIT"]
 
 # Time for which an ended limit is remembered, in seconds: other nodes may still pass an
 # older report on.
@@ -12,23 +12,23 @@
 MOST_WORDS = 65_536
 
 
-class NamedLimit(Struct, frozen=True):
+class ParsedLimit(Struct, frozen=True):
     """What the head of an answer names.
 
     Parameters
     ----------
     per_second : float or None
         Requests that the endpoint takes from all nodes together; None for no limit.
-    is_readable : bool
+    is_valid : bool
         False if it names something that is no limit; that is no word at all.
     """
 
     per_second: float | None
-    is_readable: bool = True
+    is_valid: bool = True
 
 
-NO_LIMIT = NamedLimit(None)
-UNREADABLE_LIMIT = NamedLimit(None, is_readable=False)
+NO_LIMIT = ParsedLimit(None)
+INVALID_LIMIT = ParsedLimit(None, is_valid=False)
 
 
 class ReportedLimit(Struct, frozen=True):
--- a/packages/hingesill-core/hingesill_core/ratelimits/service.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/service.py
@@ -100,7 +100,7 @@
             Its identity.
         born : int
             The life that answered.
-        named : NamedLimit
+        named : ParsedLimit
             In the head of the answer.
         sent_at, now : float
             When the request was sent and its answer's head was read.
@@ -108,7 +108,7 @@
             It was an answer to a question for its load.
         """
         per_second = named.per_second
-        if per_second is None and not (self.limited and named.is_readable):
+        if per_second is None and not (self.limited and named.is_valid):
             return
         if is_health and per_second is not None:
             self.is_in_health = True
--- a/packages/hingesill-core/hingesill_core/ratelimits/tests/limitplay.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/tests/limitplay.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from hingesill_core.ratelimits.fleet import FleetLimits
-from hingesill_core.ratelimits.reportedlimits import NamedLimit
+from hingesill_core.ratelimits.reportedlimits import ParsedLimit
 
 __all__ = ["LimitPlay", "Scenario"]
 
@@ -74,7 +74,7 @@
 
     def hear(self, endpoint, limit, now):
         """Take an endpoint's own answer."""
-        self.limits.note(endpoint, 0, NamedLimit(limit), now, now)
+        self.limits.note(endpoint, 0, ParsedLimit(limit), now, now)
 
     def submit(self):
         """Take a request."""
--- a/packages/hingesill-core/hingesill_core/routing/availability.py
+++ b/packages/hingesill-core/hingesill_core/routing/availability.py
@@ -7,16 +7,16 @@
 
 __all__ = [
     "Availability",
-    "AvailabilityBook",
+    "AvailabilityRegistry",
     "AvailabilityChange",
-    "LONGEST_REST",
-    "NO_REST",
-    "RequestedRest",
-    "UNREADABLE_REST",
+    "MAX_BACKOFF_SECONDS",
+    "NO_BACKOFF",
+    "RequestedBackoff",
+    "INVALID_BACKOFF",
 ]
 
 # Upper bound of a rest, in seconds.
-LONGEST_REST = 600.0
+MAX_BACKOFF_SECONDS = 600.0
 # Rest that is assumed where its length cannot be parsed, in seconds.
 UNREADABLE_SECONDS = 1.0
 # Time for which an address counts as leaving, in seconds, where it identifies no life.
@@ -31,23 +31,23 @@
 CLEAN_UP_PAUSE = 10.0
 
 
-class RequestedRest(Struct, frozen=True):
+class RequestedBackoff(Struct, frozen=True):
     """What an answer says on the rest that its endpoint wants from this node.
 
     Parameters
     ----------
     seconds : float
         How long; 0 if it asks for none.
-    is_readable : bool
+    is_valid : bool
         False if it asks for something that is no length of time.
     """
 
     seconds: float
-    is_readable: bool = True
+    is_valid: bool = True
 
 
-NO_REST = RequestedRest(0.0)
-UNREADABLE_REST = RequestedRest(UNREADABLE_SECONDS, is_readable=False)
+NO_BACKOFF = RequestedBackoff(0.0)
+INVALID_BACKOFF = RequestedBackoff(UNREADABLE_SECONDS, is_valid=False)
 
 
 class AvailabilityChange(Struct, frozen=True):
@@ -68,7 +68,7 @@
     service: str
     endpoint: str
     born: int
-    rest: float | None
+    backoff: float | None
     availability: object
 
 
@@ -77,7 +77,7 @@
 
     Attributes
     ----------
-    resting_until : float
+    backoff_until : float
         It asked to be left alone until then, in seconds of the node's clock.
     leaving_until, told_at : float
         Until when it counts as leaving, and when it last said so, on the same clock.
@@ -85,12 +85,12 @@
         Its identity is that of one life, which does not come back once it has left.
     """
 
-    resting_until: float = -inf
+    backoff_until: float = -inf
     leaving_until: float = -inf
     told_at: float = -inf
     names_life: bool = False
 
-    def note_rest(self, seconds, now):
+    def record_backoff(self, seconds, now):
         """Take a rest that the endpoint asks for; the longest end stands.
 
         Parameters
@@ -105,12 +105,12 @@
         bool
             Whether a rest begins with it.
         """
-        begins = not self.is_resting(now)
-        until = now + min(seconds, LONGEST_REST)
-        self.resting_until = max(self.resting_until, until)
-        return begins and self.is_resting(now)
+        begins = not self.is_backing_off(now)
+        until = now + min(seconds, MAX_BACKOFF_SECONDS)
+        self.backoff_until = max(self.backoff_until, until)
+        return begins and self.is_backing_off(now)
 
-    def note_leaving(self, now):
+    def record_leaving(self, now):
         """Note that the endpoint is leaving; return whether that is new.
 
         Parameters
@@ -127,24 +127,24 @@
         """Tell whether the endpoint said that it is leaving."""
         return now < self.leaving_until
 
-    def is_leave_ending(self, now):
+    def needs_leave_renewal(self, now):
         """Tell whether it has to be asked soon whether it is still leaving."""
         return self.is_leaving(now) and self.leaving_until - now < LEAVE_RENEWAL
 
-    def is_resting(self, now):
+    def is_backing_off(self, now):
         """Tell whether the endpoint wants nothing from this node."""
-        return now < self.resting_until
+        return now < self.backoff_until
 
     def takes_requests(self, now):
         """Tell whether a request may be sent there."""
-        return now >= self.resting_until and now >= self.leaving_until
+        return now >= self.backoff_until and now >= self.leaving_until
 
     def is_worth_keeping(self, now):
         """Tell whether it may still say something on a life that comes back."""
-        return self.is_resting(now) or now - self.told_at < REMEMBERED_SECONDS
+        return self.is_backing_off(now) or now - self.told_at < REMEMBERED_SECONDS
 
 
-class AvailabilityBook:
+class AvailabilityRegistry:
     """The Availability of each endpoint's life, for all services of a node.
 
     Parameters
@@ -186,7 +186,7 @@
             availability = self._known[key] = Availability(names_life=self.names_lives)
         return availability
 
-    def note_rest(self, service, identity, born, rest, now):
+    def record_backoff(self, service, identity, born, backoff, now):
         """Take what an answer of a life says on the rest that it wants.
 
         Parameters
@@ -195,19 +195,19 @@
             The service, and the endpoint's identity.
         born : int
             The life that answered.
-        rest : RequestedRest
+        rest : RequestedBackoff
             In the head of the answer.
         now : float
             When that was read, in seconds of the node's clock.
         """
-        if not rest.seconds:
+        if not backoff.seconds:
             return
         availability = self.get(identity, born)
         self._remember((identity, born), availability, now)
-        if availability.note_rest(rest.seconds, now):
-            self._tell(service, identity, born, rest.seconds)
+        if availability.record_backoff(backoff.seconds, now):
+            self._tell(service, identity, born, backoff.seconds)
 
-    def note_leaving(self, service, identity, born, now):
+    def record_leaving(self, service, identity, born, now):
         """Note that a life is leaving by its own answer.
 
         Parameters
@@ -221,12 +221,12 @@
         """
         availability = self.get(identity, born)
         self._remember((identity, born), availability, now)
-        if availability.note_leaving(now):
+        if availability.record_leaving(now):
             self._tell(service, identity, born, None)
 
-    def _tell(self, service, identity, born, rest):
+    def _tell(self, service, identity, born, backoff):
         availability = self.get(identity, born)
-        change = AvailabilityChange(service, identity, born, rest, availability)
+        change = AvailabilityChange(service, identity, born, backoff, availability)
         self.observe(change)
 
     @property
@@ -234,9 +234,9 @@
         """Whether any life said something lately."""
         return bool(self._remembered)
 
-    def count_resting(self, now):
+    def count_backing_off(self, now):
         """Return how many lives want nothing from this node now."""
-        return sum(held.is_resting(now) for held in self._remembered.values())
+        return sum(held.is_backing_off(now) for held in self._remembered.values())
 
     def count_leaving(self, now):
         """Return how many lives are leaving by their own word."""
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -8,17 +8,17 @@
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.retries.budget import TokenBudget
 from hingesill_core.retries.decision import NOT_EXECUTED, mark_may_have_run
-from hingesill_core.routing.availability import AvailabilityBook
+from hingesill_core.routing.availability import AvailabilityRegistry
 from hingesill_core.routing.endpoint_state import EndpointState, ServiceView
 from hingesill_core.routing.hedging import Hedging
 from hingesill_core.routing.latebinding import LateBinding
 from hingesill_core.routing.limitedrequests import LimitedRequests
 from hingesill_core.routing.loadqueries import FRESH_REPORT_POLICY
 from hingesill_core.routing.messages import Queued, Refusal, Send, SendStatus
-from hingesill_core.routing.openings import Openings
 from hingesill_core.routing.policies import POLICIES
 from hingesill_core.routing.retryhandler import RetryHandler
 from hingesill_core.routing.selection import takes_work
+from hingesill_core.routing.serviceavailability import ServiceAvailability
 
 __all__ = ["Dispatcher"]
 
@@ -42,7 +42,7 @@
         Of all services of the node.
     limits : ServiceLimits or None
         What the service's endpoints in need still take; of this node alone if None.
-    availabilities : AvailabilityBook or None
+    availabilities : AvailabilityRegistry or None
         Of all endpoints' lives that the node knows; of this service alone if None.
     """
 
@@ -57,7 +57,7 @@
         availabilities=None,
     ):
         self.rng = rng
-        self.availabilities = availabilities or AvailabilityBook()
+        self.availabilities = availabilities or AvailabilityRegistry()
         self.states = {}
         self.view = ServiceView()
         self.last_submit = float("-inf")
@@ -68,7 +68,7 @@
         self.hedging = Hedging(self, service.sends.hedge_share)
         self.retries = TokenBudget(service.sends.retry_share)
         self.retrying = RetryHandler(self)
-        self.openings = Openings(self)
+        self.service_availability = ServiceAvailability(self)
         self.limits = limits or ServiceLimits(service.name, rng)
         self.limits.usable = self._takes_work
         self.limited_requests = LimitedRequests(self)
@@ -136,7 +136,7 @@
         ----------
         send : Send
             As it was given out.
-        named : NamedLimit or None
+        named : ParsedLimit or None
             None if it was not this endpoint's.
         now : float
             The time.
@@ -185,7 +185,7 @@
         """Return Hold if a request can wait and still be in time, else its Refusal."""
         if not self.has_takers(ticket.route, now):
             return self.refuse(ticket, RefusalReason.NO_ENDPOINT, now)
-        refusal = self.openings.find_refusal(ticket, now)
+        refusal = self.service_availability.find_refusal(ticket, now)
         if refusal is not None:
             return refusal
         if self.limits.limited and self.limited_requests.is_surplus(ticket, now):
@@ -221,9 +221,9 @@
 
     def suggest_retry_after(self, route, now):
         """Return the seconds after which a caller finds room, as far as known."""
-        rest = self.openings.suggest_retry_after(route, now)
-        if rest is not None:
-            return rest
+        backoff = self.service_availability.suggest_retry_after(route, now)
+        if backoff is not None:
+            return backoff
         wait = self.binding.estimate_wait(now)
         if not wait:
             wait = self.pace.estimate_queue_time(len(self.queue), self.places)
@@ -312,7 +312,7 @@
             return self.refuse(ticket, RefusalReason.NO_ENDPOINT, now)
         if now + self.get_latency(ticket.route).p10 > ticket.deadline:
             return self.refuse(ticket, RefusalReason.DEADLINE_UNREACHABLE, now)
-        return self.openings.find_refusal(ticket, now)
+        return self.service_availability.find_refusal(ticket, now)
 
     def abandon(self, ticket):
         """Forget a held request whose caller is gone."""
@@ -343,7 +343,7 @@
         if result.end in NOT_EXECUTED:
             send.ticket.sends -= 1
         # An endpoint that asks for a rest is not unhealthy.
-        end = SendStatus.REFUSED if result.rest.seconds else result.end
+        end = SendStatus.REFUSED if result.backoff.seconds else result.end
         came_back = state.health.note(end, now, self._may_eject(now))
         if came_back or result.cold:
             state.cold_since = now
@@ -389,9 +389,11 @@
         if result.limit is not None:
             limit = result.limit
             self.limits.note(endpoint, state.born, limit, now, now, is_health=True)
-        self.openings.note(endpoint, state.born, result.rest, result.leaving, now)
-        if state.health.needs_trial(now):
-            state.health.on_trial = True
+        self.service_availability.note(
+            endpoint, state.born, result.backoff, result.leaving, now
+        )
+        if state.health.is_trial_due(now):
+            state.health.trial_in_flight = True
         if state.health.note(result.end, now, self._may_eject(now)) or result.cold:
             state.cold_since = now
 
--- a/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
+++ b/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
@@ -169,8 +169,8 @@
             self.limits.use(self.identity, now)
         self.common.turns += 1
         self.turn = self.common.turns
-        if self.health.needs_trial(now):
-            self.health.on_trial = True
+        if self.health.is_trial_due(now):
+            self.health.trial_in_flight = True
 
     def note_warmth(self, warm_in, now):
         """Take its own word on how long it stays cold, in seconds."""
@@ -211,7 +211,7 @@
         elif result.end is SendStatus.CANCELLED and ratio > self.slowness:
             self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
         elif result.end is SendStatus.REFUSED:
-            self.availability.note_rest(REFUSED_PAUSE, now)
+            self.availability.record_backoff(REFUSED_PAUSE, now)
 
     def has_place(self, ticket, now):
         """Tell whether a request may be sent there now.
@@ -239,7 +239,7 @@
 
     def accepts_trial(self, ticket, now):
         """Tell whether a request may try an endpoint that was ejected."""
-        if not self.health.needs_trial(now):
+        if not self.health.is_trial_due(now):
             return False
         waited = now - self.health.ejected_until
         return ticket.route.repeatable or waited > WAIT_FOR_REPEATABLE
--- a/packages/hingesill-core/hingesill_core/routing/health.py
+++ b/packages/hingesill-core/hingesill_core/routing/health.py
@@ -39,7 +39,7 @@
     consecutive: int = 0
     ejections: int = 0
     ejected_until: float = 0.0
-    on_trial: bool = False
+    trial_in_flight: bool = False
     fault_share: float = 0.0
     failures_to_eject: int = FAILURES_TO_EJECT
     longest: float = LONGEST_EJECTION
@@ -65,13 +65,13 @@
             self._note_failure(now, may_eject)
             return False
         if end is not SendStatus.ANSWERED:
-            self.on_trial = False
+            self.trial_in_flight = False
             return False
         self.fault_share -= FAULT_WEIGHT * self.fault_share
         self.consecutive = 0
-        came_back = self.on_trial
+        came_back = self.trial_in_flight
         if came_back:
-            self.on_trial = False
+            self.trial_in_flight = False
             self.ejections = 0
             self.ejected_until = 0.0
         return came_back
@@ -79,8 +79,8 @@
     def _note_failure(self, now, may_eject):
         self.fault_share += FAULT_WEIGHT * (1 - self.fault_share)
         self.consecutive += 1
-        failed_trial = self.on_trial
-        self.on_trial = False
+        failed_trial = self.trial_in_flight
+        self.trial_in_flight = False
         if failed_trial or (self.consecutive >= self.failures_to_eject and may_eject):
             self.eject(now)
 
@@ -95,9 +95,9 @@
         """Tell whether the endpoint is kept out."""
         return now < self.ejected_until
 
-    def needs_trial(self, now):
+    def is_trial_due(self, now):
         """Tell whether its ejection has ended and a single trial is due."""
-        return 0 < self.ejected_until <= now and not self.on_trial
+        return 0 < self.ejected_until <= now and not self.trial_in_flight
 
     def is_open(self):
         """Tell whether ordinary traffic may go there."""
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -175,8 +175,8 @@
         chosen = self.selection.sample(candidates, count, now, is_first)
         for state in chosen:
             state.queried_at = now
-            if state.reach.needs_trial(now):
-                state.reach.on_trial = True
+            if state.reach.is_trial_due(now):
+                state.reach.trial_in_flight = True
         return tuple(state.identity for state in chosen)
 
     def may_query(self, identity, born, now):
@@ -245,8 +245,8 @@
         if born is None and state is not None:
             born = state.born
         if born is not None:
-            self.dispatcher.openings.note(
-                reply.endpoint, born, reply.rest, reply.leaving, now
+            self.dispatcher.service_availability.note(
+                reply.endpoint, born, reply.backoff, reply.leaving, now
             )
         if state is None or born != state.born:
             return None
@@ -303,7 +303,7 @@
     def _find_opening_refusal(self, ticket, now):
         """Return the Refusal of a request that no endpoint takes soon, or None."""
         tried = ticket.tried if len(self.dispatcher.states) > 1 else ()
-        return self.dispatcher.openings.find_refusal(ticket, now, tried)
+        return self.dispatcher.service_availability.find_refusal(ticket, now, tried)
 
 
 def complete_report(report, state):
--- a/packages/hingesill-core/hingesill_core/routing/loadqueries.py
+++ b/packages/hingesill-core/hingesill_core/routing/loadqueries.py
@@ -10,8 +10,8 @@
 
 from msgspec import Struct
 
-from hingesill_core.ratelimits.reportedlimits import NamedLimit
-from hingesill_core.routing.availability import NO_REST, RequestedRest
+from hingesill_core.ratelimits.reportedlimits import ParsedLimit
+from hingesill_core.routing.availability import NO_BACKOFF, RequestedBackoff
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.messages import SendStatus
 
@@ -123,11 +123,11 @@
         It says that it is not well, or leaving; None if it did not tell.
     born : int or None
         The life of the endpoint that was asked; None if that is not known.
-    limit : NamedLimit or None
+    limit : ParsedLimit or None
         What the reply named; None if it did not come.
     sent_at : float or None
         When the question was sent; None if the reply is to no question.
-    rest : RequestedRest
+    rest : RequestedBackoff
         For which the endpoint wants nothing more from this node.
     leaving : bool
         The endpoint said that it is leaving.
@@ -139,9 +139,9 @@
     warm_in: float | None = None
     is_unhealthy: bool | None = None
     born: int | None = None
-    limit: NamedLimit | None = None
+    limit: ParsedLimit | None = None
     sent_at: float | None = None
-    rest: RequestedRest = NO_REST
+    backoff: RequestedBackoff = NO_BACKOFF
     leaving: bool = False
 
 
--- a/packages/hingesill-core/hingesill_core/routing/messages.py
+++ b/packages/hingesill-core/hingesill_core/routing/messages.py
@@ -5,9 +5,9 @@
 from msgspec import Struct, field
 
 from hingesill_core.configuration.services import Route
-from hingesill_core.ratelimits.reportedlimits import NamedLimit
+from hingesill_core.ratelimits.reportedlimits import ParsedLimit
 from hingesill_core.reasons import Outcome, RefusalReason, RetryReason
-from hingesill_core.routing.availability import NO_REST, RequestedRest
+from hingesill_core.routing.availability import NO_BACKOFF, RequestedBackoff
 from hingesill_core.routing.load_report import LoadReport
 
 __all__ = [
@@ -148,9 +148,9 @@
         The endpoint said that it is leaving.
     cold : bool
         The endpoint said that it has just started.
-    rest : RequestedRest
+    rest : RequestedBackoff
         For which the endpoint wants nothing more from this node.
-    limit : NamedLimit or None
+    limit : ParsedLimit or None
         What the answer named; None if no head of this endpoint's came.
     """
 
@@ -158,5 +158,5 @@
     report: LoadReport | None = None
     leaving: bool = False
     cold: bool = False
-    rest: RequestedRest = NO_REST
-    limit: NamedLimit | None = None
+    backoff: RequestedBackoff = NO_BACKOFF
+    limit: ParsedLimit | None = None
--- a/packages/hingesill-core/hingesill_core/routing/retryhandler.py
+++ b/packages/hingesill-core/hingesill_core/routing/retryhandler.py
@@ -55,7 +55,9 @@
         return self._give_up(ticket, end, now), RetryReason.DENIED_NO_ENDPOINT
 
     def _give_up(self, ticket, end, now):
-        after = self._dispatcher.openings.suggest_retry_after(ticket.route, now)
+        after = self._dispatcher.service_availability.suggest_retry_after(
+            ticket.route, now
+        )
         if after is None and self._is_by_chance(end):
             after = self._suggest_other_node()
         if after is None:
--- a/packages/hingesill-core/hingesill_core/routing/selection.py
+++ b/packages/hingesill-core/hingesill_core/routing/selection.py
@@ -115,7 +115,7 @@
             usable = [s for s in usable if any(map(s.is_home_of, routes))]
         just_now = now - self.rules.selective
         for keep in (
-            lambda s: s.reach.is_open() or s.reach.needs_trial(now),
+            lambda s: s.reach.is_open() or s.reach.is_trial_due(now),
             lambda s: s.queried_at < just_now,
         ):
             usable = [state for state in usable if keep(state)] or usable
@@ -131,4 +131,4 @@
     """Tell whether an endpoint may get new work, as far as known."""
     if not takes_work(state, now) or not state.is_within_limit(now):
         return False
-    return state.health.is_open() or state.health.needs_trial(now)
+    return state.health.is_open() or state.health.is_trial_due(now)
--- a/packages/hingesill-core/hingesill_core/routing/openings.py
+++ b/packages/hingesill-core/hingesill_core/routing/serviceavailability.py
@@ -5,7 +5,7 @@
 from hingesill_core.reasons import RefusalReason
 from hingesill_core.routing.selection import takes_work
 
-__all__ = ["Openings"]
+__all__ = ["ServiceAvailability"]
 
 # Longest wait for the end of a rest, in seconds.
 PATIENCE_SECONDS = 0.02
@@ -13,7 +13,7 @@
 SPREAD_SECONDS = 0.5
 
 
-class Openings:
+class ServiceAvailability:
     """What the endpoints of a service say on further requests of this node.
 
     Parameters
@@ -25,7 +25,7 @@
     def __init__(self, dispatcher):
         self._dispatcher = dispatcher
 
-    def note(self, identity, born, rest, leaving, now):
+    def note(self, identity, born, backoff, leaving, now):
         """Take what an answer says on further requests, when its head is read.
 
         Parameters
@@ -34,7 +34,7 @@
             The endpoint's.
         born : int
             The life that answered.
-        rest : RequestedRest
+        rest : RequestedBackoff
             That it asks for.
         leaving : bool
             It says that it is leaving.
@@ -43,9 +43,9 @@
         """
         name = self._dispatcher.service.name
         availabilities = self._dispatcher.availabilities
-        availabilities.note_rest(name, identity, born, rest, now)
+        availabilities.record_backoff(name, identity, born, backoff, now)
         if leaving:
-            availabilities.note_leaving(name, identity, born, now)
+            availabilities.record_leaving(name, identity, born, now)
 
     def may_write(self, send, now):
         """Tell whether a send may still be written, once its connection is there.
@@ -60,12 +60,12 @@
         state = self._dispatcher.find_state(send)
         return state is not None and takes_work(state, now)
 
-    def count_resting(self, now):
+    def count_backing_off(self, now):
         """Return how many of the endpoints asked for a rest that lasts."""
         if not self._dispatcher.availabilities.has_words:
             return 0
         states = self._dispatcher.states.values()
-        return sum(state.availability.is_resting(now) for state in states)
+        return sum(state.availability.is_backing_off(now) for state in states)
 
     def get_wait(self, route, now, tried=()):
         """Return the seconds until an endpoint takes a route's requests.
@@ -90,7 +90,7 @@
                 continue
             if state.is_draining(now):
                 continue
-            wait = state.availability.resting_until - now
+            wait = state.availability.backoff_until - now
             if wait <= 0:
                 return 0.0
             soonest = min(soonest, wait)
--- a/packages/hingesill-core/hingesill_core/routing/tests/playedendpoint.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/playedendpoint.py
@@ -1,6 +1,6 @@
 """An endpoint of a played load: its slots, its queue, and what is wrong for a while."""
 
-from hingesill_core.ratelimits.reportedlimits import NO_LIMIT, NamedLimit
+from hingesill_core.ratelimits.reportedlimits import NO_LIMIT, ParsedLimit
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.messages import SendResult, SendStatus
 from hingesill_core.routing.tests.loads import Spell
@@ -55,7 +55,7 @@
     def name_limit(self):
         """Return what the head of an answer names as its limit."""
         spell = self.find_spell()
-        return NO_LIMIT if spell is None else NamedLimit(spell.limit)
+        return NO_LIMIT if spell is None else ParsedLimit(spell.limit)
 
     def arrive(self, node, send):
         """Take a request, or refuse it."""
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
@@ -5,7 +5,7 @@
 
 from msgspec.structs import replace
 
-from hingesill_core.ratelimits.reportedlimits import NO_LIMIT, NamedLimit
+from hingesill_core.ratelimits.reportedlimits import NO_LIMIT, ParsedLimit
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.fleetview import FleetView
@@ -24,7 +24,7 @@
 
 def name(endpoint, limit, at, running=0):
     """Return an endpoint's reply that names a limit, or none."""
-    named = NO_LIMIT if limit is None else NamedLimit(limit)
+    named = NO_LIMIT if limit is None else ParsedLimit(limit)
     return replace(reply(endpoint, running), limit=named, sent_at=at)
 
 
@@ -136,7 +136,7 @@
 
     def name_all(self, limit, at=0.0):
         for endpoint in ("i0", "i1"):
-            self.limits.note(endpoint, 0, NamedLimit(limit), at, at + 0.01)
+            self.limits.note(endpoint, 0, ParsedLimit(limit), at, at + 0.01)
 
     def test_all_are_in_need(self):
         self.name_all(2.0)
@@ -155,6 +155,6 @@
         self.assertGreater(refused, 0)
 
     def test_one_is_in_need(self):
-        self.limits.note("i0", 0, NamedLimit(0.0), 0.0, 0.01)
+        self.limits.note("i0", 0, ParsedLimit(0.0), 0.0, 0.01)
         sends = [self.submit(1.0 + number) for number in range(2)]
         self.assertEqual({send.endpoint for send in sends}, {"i1"})
--- a/packages/hingesill-node/hingesill_node/datapath/availabilitylog.py
+++ b/packages/hingesill-node/hingesill_node/datapath/availabilitylog.py
@@ -30,23 +30,23 @@
 
     def note(self, change):
         """Take an AvailabilityChange."""
-        is_rest = change.rest is not None
+        is_rest = change.backoff is not None
         if self.counters is not None:
             kind = "rest" if is_rest else "leaving"
             self.counters.add("availability", change.service, kind)
         if not is_rest:
             self._write(Event.ENDPOINT_LEAVING, change)
-        elif change.rest >= SHORTEST_LOGGED:
-            self._write(Event.REST_BEGUN, change, seconds=change.rest)
+        elif change.backoff >= SHORTEST_LOGGED:
+            self._write(Event.REST_BEGUN, change, seconds=change.backoff)
             self._await_end(change)
 
     def _await_end(self, change):
-        left = change.availability.resting_until - self.clock()
+        left = change.availability.backoff_until - self.clock()
         eventlet.spawn_after(max(0.0, left), self._look_for_end, change)
 
     def _look_for_end(self, change):
         """Write that a rest is over, unless it was made longer."""
-        if change.availability.is_resting(self.clock()):
+        if change.availability.is_backing_off(self.clock()):
             self._await_end(change)
         else:
             self._write(Event.REST_ENDED, change)
--- a/packages/hingesill-node/hingesill_node/datapath/exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/exchange.py
@@ -113,7 +113,9 @@
 
     def _wait_for_reply(self, ask):
         """Wait until an endpoint's reply will do; return what to do then."""
-        resting = self.runner.dispatcher.openings.count_resting(self.clock())
+        resting = self.runner.dispatcher.service_availability.count_backing_off(
+            self.clock()
+        )
         passed_by = f"({resting} resting)" if resting else ""
         self._tell(StepKind.ASKED, ",".join(ask.endpoints), passed_by)
         found = self.runner.get_room(self.wire, self.counters).wait(self.request, ask)
--- a/packages/hingesill-node/hingesill_node/datapath/headers.py
+++ b/packages/hingesill-node/hingesill_node/datapath/headers.py
@@ -5,14 +5,14 @@
 from msgspec import Struct
 
 from hingesill_core.ratelimits.reportedlimits import (
+    INVALID_LIMIT,
     NO_LIMIT,
-    UNREADABLE_LIMIT,
-    NamedLimit,
+    ParsedLimit,
 )
 from hingesill_core.routing.availability import (
-    NO_REST,
-    UNREADABLE_REST,
-    RequestedRest,
+    INVALID_BACKOFF,
+    NO_BACKOFF,
+    RequestedBackoff,
 )
 
 __all__ = [
@@ -50,7 +50,7 @@
     load: str
     warmth: str
     limit: str
-    rest: str
+    backoff: str
     leaving: str
 
 
@@ -154,7 +154,7 @@
 
 
 def read_limit(response, name):
-    """Return the NamedLimit of an answer's head.
+    """Return the ParsedLimit of an answer's head.
 
     Parameters
     ----------
@@ -172,13 +172,13 @@
         return NO_LIMIT
     readable = read_numbers(response, name)
     if not readable:
-        return UNREADABLE_LIMIT
+        return INVALID_LIMIT
     limit = min(readable)
-    return NamedLimit(limit) if limit < LARGEST_LIMIT else NO_LIMIT
+    return ParsedLimit(limit) if limit < LARGEST_LIMIT else NO_LIMIT
 
 
 def read_rest(response, name):
-    """Return the RequestedRest of an answer's head.
+    """Return the RequestedBackoff of an answer's head.
 
     Parameters
     ----------
@@ -193,9 +193,9 @@
     read, a date among them, the endpoint is left alone for a second.
     """
     if response.status != RESTING_STATUS or response.get(name) is None:
-        return NO_REST
+        return NO_BACKOFF
     readable = read_numbers(response, name)
-    return RequestedRest(max(readable)) if readable else UNREADABLE_REST
+    return RequestedBackoff(max(readable)) if readable else INVALID_BACKOFF
 
 
 def read_numbers(response, name):
--- a/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
@@ -172,7 +172,7 @@
             warm_in,
             is_unhealthy,
             limit=signals.limit,
-            rest=signals.rest,
+            backoff=signals.backoff,
             leaving=signals.leaving,
             sent_at=sent_at,
         )
@@ -186,9 +186,9 @@
         A question may be refused as a request is, by whoever has the address.
         """
         signals = self.wire.read_signals(response, self.runner.clock(), 0)
-        if not (self.wire.is_unsigned(response) and signals.rest.seconds):
+        if not (self.wire.is_unsigned(response) and signals.backoff.seconds):
             return LoadReply(endpoint, SendStatus.LOST)
-        return LoadReply(endpoint, SendStatus.REFUSED, rest=signals.rest)
+        return LoadReply(endpoint, SendStatus.REFUSED, backoff=signals.backoff)
 
     def _take(self, reply, pool, connection, response):
         """Give the reply, and the connection that brought it, to a request."""
--- a/packages/hingesill-node/hingesill_node/datapath/prober.py
+++ b/packages/hingesill-node/hingesill_node/datapath/prober.py
@@ -91,7 +91,7 @@
         share = self.blackboard.probe_share
         pacer = self._pacers[name]
         state = runner.dispatcher.states.get(address)
-        if state is None or state.availability.is_resting(runner.clock()):
+        if state is None or state.availability.is_backing_off(runner.clock()):
             return None
         if share is None or not pacer.take(share, pace, read_boot_time()):
             return None
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -47,7 +47,7 @@
         Knows which requests must not be sent; shared by all services.
     limits : ServiceLimits or None
         What the service's endpoints in need still take.
-    availabilities : AvailabilityBook or None
+    availabilities : AvailabilityRegistry or None
         Of all endpoints' lives that the node knows.
     """
 
@@ -152,14 +152,14 @@
             Read from the head.
         """
         now = self.clock()
-        limit, rest = result.limit, result.rest
-        if limit is not None and not limit.is_readable:
+        limit, backoff = result.limit, result.backoff
+        if limit is not None and not limit.is_valid:
             self._complain(Event.LIMIT_INVALID, send.endpoint, now)
-        if not rest.is_readable:
+        if not backoff.is_valid:
             self._complain(Event.REST_INVALID, send.endpoint, now)
         self.dispatcher.note_limit(send, limit, now)
-        self.dispatcher.openings.note(
-            send.endpoint, send.born, rest, result.leaving, now
+        self.dispatcher.service_availability.note(
+            send.endpoint, send.born, backoff, result.leaving, now
         )
         if result.leaving:
             self.announce.announce_drain(send.endpoint)
--- a/packages/hingesill-node/hingesill_node/datapath/runnertable.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runnertable.py
@@ -4,7 +4,7 @@
 
 from hingesill_core.limits.querybudget import QueryBudget
 from hingesill_core.ratelimits.fleet import FleetLimits
-from hingesill_core.routing.availability import AvailabilityBook
+from hingesill_core.routing.availability import AvailabilityRegistry
 from hingesill_core.routing.latencycurves import LatencyCurves, merge_level_profiles
 from hingesill_core.routing.profile import Profile
 from hingesill_node.crashes.requestguard import RequestGuard
@@ -39,7 +39,7 @@
         self.guard = RequestGuard()
         self.limits = FleetLimits(rng, log_limit, self._is_declared)
         self.availability_log = AvailabilityLog(clock)
-        self.availabilities = AvailabilityBook(self.availability_log.note)
+        self.availabilities = AvailabilityRegistry(self.availability_log.note)
         self._wire = None
         self._counters = None
         blackboard.watch("configuration", self.refresh)
--- a/packages/hingesill-node/hingesill_node/datapath/sends.py
+++ b/packages/hingesill-node/hingesill_node/datapath/sends.py
@@ -85,7 +85,9 @@
             connect(live)
             if self._close_if_settled(live):
                 return live
-            if not self.runner.dispatcher.openings.may_write(send, self.clock()):
+            if not self.runner.dispatcher.service_availability.may_write(
+                send, self.clock()
+            ):
                 return self.end(live, SendResult(SendStatus.NOT_SENT), keep=True)
             send_request(live, self.request, self.clock(), self.wire)
             self._close_if_settled(live)
--- a/packages/hingesill-node/hingesill_node/datapath/story.py
+++ b/packages/hingesill-node/hingesill_node/datapath/story.py
@@ -95,7 +95,7 @@
     response : EndpointResponse or None
         None if no head came.
     """
-    rest = None if response is None else response.get("Retry-After")
-    if rest is None:
+    backoff = None if response is None else response.get("Retry-After")
+    if backoff is None:
         return end.value
-    return f"{end.value} retry-after {rest[:LONGEST_VALUE]}"
+    return f"{end.value} retry-after {backoff[:LONGEST_VALUE]}"
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_availabilitylog.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_availabilitylog.py
@@ -5,7 +5,7 @@
 
 import eventlet
 
-from hingesill_core.routing.availability import AvailabilityBook, RequestedRest
+from hingesill_core.routing.availability import AvailabilityRegistry, RequestedBackoff
 from hingesill_node.datapath.availabilitylog import AvailabilityLog
 from hingesill_node.telemetry.counters import Counters
 from hingesill_node.telemetry.events import Event
@@ -15,11 +15,11 @@
     def setUp(self):
         self.log = AvailabilityLog(time.monotonic)
         self.log.counters = Counters()
-        self.book = AvailabilityBook(self.log.note)
+        self.book = AvailabilityRegistry(self.log.note)
 
-    def rest(self, seconds):
-        rest = RequestedRest(seconds)
-        self.book.note_rest("arena", "i0", 0, rest, time.monotonic())
+    def backoff(self, seconds):
+        backoff = RequestedBackoff(seconds)
+        self.book.record_backoff("arena", "i0", 0, backoff, time.monotonic())
 
     def count_lines(self, logs):
         numbers = [record.event for record in logs.records]
@@ -28,9 +28,9 @@
 
     def test_a_rest_that_is_made_longer_ends_once(self):
         with self.assertLogs("hingesill", "INFO") as logs:
-            self.rest(0.2)
+            self.backoff(0.2)
             eventlet.sleep(0.1)
-            self.rest(0.3)
+            self.backoff(0.3)
             eventlet.sleep(0.2)
             self.assertEqual(self.count_lines(logs), [1, 0, 0])
             eventlet.sleep(0.2)
@@ -38,13 +38,13 @@
 
     def test_short_rests_are_only_counted(self):
         with self.assertNoLogs("hingesill"):
-            self.rest(0.01)
+            self.backoff(0.01)
         counts = self.log.counters.list_counts("availability")
         self.assertEqual(counts, [("arena", "rest", 1)])
 
     def test_an_endpoint_that_leaves_is_told_once(self):
         with self.assertLogs("hingesill", "INFO") as logs:
             for _ in range(3):
-                self.book.note_leaving("arena", "i0", 0, time.monotonic())
+                self.book.record_leaving("arena", "i0", 0, time.monotonic())
         self.assertEqual(self.count_lines(logs), [0, 0, 1])
         self.assertEqual(self.book.count_leaving(time.monotonic()), 1)
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
@@ -4,7 +4,7 @@
 from unittest.mock import patch
 
 from hingesill_core.reasons import Outcome, RetryReason
-from hingesill_core.routing.availability import RequestedRest
+from hingesill_core.routing.availability import RequestedBackoff
 from hingesill_core.routing.loadqueries import LoadQuery
 from hingesill_core.routing.messages import (
     RetryDenied,
@@ -66,7 +66,7 @@
     def take(self):
         dispatcher = self.runner.dispatcher
         now = self.runner.clock()
-        dispatcher.openings.note("i1", 0, RequestedRest(3.0), False, now)
+        dispatcher.service_availability.note("i1", 0, RequestedBackoff(3.0), False, now)
         return self.connection
 
     def give_back(self, connection, idle_seconds=None):
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_headers.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_headers.py
@@ -4,13 +4,13 @@
 
 from msgspec.structs import asdict
 
-from hingesill_core.routing.availability import NO_REST, UNREADABLE_REST
+from hingesill_core.routing.availability import INVALID_BACKOFF, NO_BACKOFF
 from hingesill_node.datapath.headers import RETRY_AFTER, read_rest
 from hingesill_node.datapath.responses import EndpointResponse
 from hingesill_node.datapath.wire import OwnFormat
 
 # A value of each header by which an endpoint speaks of itself, in own dialect.
-VALUES = {"load": "2", "warmth": "1", "limit": "3", "rest": "3", "leaving": "1"}
+VALUES = {"load": "2", "warmth": "1", "limit": "3", "backoff": "3", "leaving": "1"}
 
 
 def read_head(wire, **headers):
@@ -55,11 +55,11 @@
         date = "Fri, 04 Dec 2026 10:00:00 GMT"
         for value in ("", "x", "-3", "nan", "inf", "1e3", "3 s", date):
             with self.subTest(value=value):
-                self.assertIs(self.read(value), UNREADABLE_REST)
+                self.assertIs(self.read(value), INVALID_BACKOFF)
 
     def test_an_answer_that_asks_for_none(self):
-        self.assertIs(self.read(), NO_REST)
+        self.assertIs(self.read(), NO_BACKOFF)
 
     def test_other_statuses_speak_of_the_caller(self):
         for status in (200, 429, 500):
-            self.assertIs(self.read("3", status=status), NO_REST)
+            self.assertIs(self.read("3", status=status), NO_BACKOFF)
--- a/packages/hingesill-node/hingesill_node/datapath/transport.py
+++ b/packages/hingesill-node/hingesill_node/datapath/transport.py
@@ -142,7 +142,7 @@
         signals.report,
         leaving=signals.leaving,
         cold=signals.cold,
-        rest=signals.rest,
+        backoff=signals.backoff,
         limit=signals.limit,
     )
 
--- a/packages/hingesill-node/hingesill_node/datapath/wire.py
+++ b/packages/hingesill-node/hingesill_node/datapath/wire.py
@@ -7,8 +7,8 @@
 
 from msgspec import Struct
 
-from hingesill_core.ratelimits.reportedlimits import NO_LIMIT, NamedLimit
-from hingesill_core.routing.availability import NO_REST, RequestedRest
+from hingesill_core.ratelimits.reportedlimits import NO_LIMIT, ParsedLimit
+from hingesill_core.routing.availability import NO_BACKOFF, RequestedBackoff
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_node.datapath.headers import (
     LAYER_TAKEN,
@@ -41,11 +41,11 @@
         It says that it did not run the request.
     leaving, cold : bool
         It says that it is leaving, or has just started.
-    rest : RequestedRest
+    rest : RequestedBackoff
         For which it wants nothing more from this node.
     warm_in : float or None
         Seconds for which it is cold, 0 if it is warm; None if it did not tell.
-    limit : NamedLimit or None
+    limit : ParsedLimit or None
         Requests that it takes from all nodes; None if another one answered.
     """
 
@@ -53,9 +53,9 @@
     not_run: bool = False
     leaving: bool = False
     cold: bool = False
-    rest: RequestedRest = NO_REST
+    backoff: RequestedBackoff = NO_BACKOFF
     warm_in: float | None = None
-    limit: NamedLimit | None = NO_LIMIT
+    limit: ParsedLimit | None = NO_LIMIT
 
 
 class OwnFormat:
@@ -67,7 +67,7 @@
         load=Names.RUNNING,
         warmth=Names.COLD,
         limit=Names.LIMIT,
-        rest=RETRY_AFTER,
+        backoff=RETRY_AFTER,
         leaving=Names.DRAINING,
     )
     layer_environ = "HTTP_HINGESILL_RETRIES"
@@ -135,7 +135,7 @@
             not_run=not_run,
             leaving=read_flag(response, names.leaving),
             cold=read_flag(response, names.warmth),
-            rest=read_rest(response, names.rest),
+            backoff=read_rest(response, names.backoff),
             limit=read_limit(response, names.limit),
         )
 
--- a/packages/hingesill-node/hingesill_node/explanation.py
+++ b/packages/hingesill-node/hingesill_node/explanation.py
@@ -64,7 +64,7 @@
         return "it was ejected after failures"
     if not state.health.is_open():
         return "it awaits a trial"
-    if state.availability.is_resting(now):
+    if state.availability.is_backing_off(now):
         return "it asked for a rest"
     if state.in_flight >= state.send_limit:
         return "this node's places there are taken"
--- a/packages/hingesill-node/hingesill_node/node.py
+++ b/packages/hingesill-node/hingesill_node/node.py
@@ -117,7 +117,7 @@
             "in_flight": self.blackboard.in_flight,
             "held": self.runners.count_held(),
             "limited_endpoints": self.runners.limits.count_limited(),
-            "resting_endpoints": availabilities.count_resting(now),
+            "resting_endpoints": availabilities.count_backing_off(now),
             "leaving_endpoints": availabilities.count_leaving(now),
             "quarantined": len(self.runners.guard.decisions.quarantine),
             "revision": self.blackboard.configuration.revision,
--- a/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
@@ -17,7 +17,7 @@
     LimitRecord,
     LimitUpdate,
 )
-from hingesill_core.ratelimits.reportedlimits import NamedLimit
+from hingesill_core.ratelimits.reportedlimits import ParsedLimit
 from hingesill_node.crashes.datagrams import MESSAGE_PREFIX
 from hingesill_node.datagramport import DatagramPort
 from hingesill_node.ratelimits.datagrams import MARK, decode_message, encode_message
@@ -129,7 +129,7 @@
     def test_a_node_that_is_not_the_coordinator_gets_grants(self):
         now = Runners(None).clock()
         for node in self.nodes:
-            node.get("arena").note("i1", 1, NamedLimit(50.0), now, now)
+            node.get("arena").note("i1", 1, ParsedLimit(50.0), now, now)
         client = next(n for n in self.nodes if not n.get("arena").is_first())
         limits = client.get("arena")
         limits.grant_client.want(3, 0.5, now)
@@ -137,7 +137,7 @@
 
     def test_one_tells_the_others(self):
         now = Runners(None).clock()
-        self.nodes[0].get("arena").note("i1", 1, NamedLimit(2.5), now, now)
+        self.nodes[0].get("arena").note("i1", 1, ParsedLimit(2.5), now, now)
         self.wait(lambda: all(n.get("arena").limited for n in self.nodes))
 
     def test_services_that_are_not_declared_are_passed_over(self):
@@ -153,5 +153,5 @@
         for data in (b"", MARK, MARK * 2000, encode_message(MESSAGES[1])[:9]):
             sock.sendto(data, self.nodes[0].own)
         now = Runners(None).clock()
-        self.nodes[1].get("arena").note("i1", 1, NamedLimit(2.5), now, now)
+        self.nodes[1].get("arena").note("i1", 1, ParsedLimit(2.5), now, now)
         self.wait(lambda: self.nodes[0].get("arena").limited)
