--- a/packages/hingesill-core/hingesill_core/configuration/files.py
+++ b/packages/hingesill-core/hingesill_core/configuration/files.py
@@ -32,7 +32,7 @@
     places = {}
     for file in list_files(Path(path), findings):
         for place, declaration in read_file(file, findings):
-            note_service(declaration, place, places, findings)
+            record_service(declaration, place, places, findings)
             declarations.append(declaration)
     check_routes_across(declarations, findings)
     return declarations, findings
@@ -97,7 +97,7 @@
     return None
 
 
-def note_service(declaration, place, places, findings):
+def record_service(declaration, place, places, findings):
     """Report a service that two declarations name."""
     first = places.setdefault(declaration.service, place)
     if first != place:
--- a/packages/hingesill-core/hingesill_core/crashes/guard.py
+++ b/packages/hingesill-core/hingesill_core/crashes/guard.py
@@ -124,7 +124,7 @@
         """Take that an endpoint ended while it had a request of this node."""
         self._take_ending(fingerprints, EndpointCrash(endpoint, now), now)
 
-    def note_answer(self, fingerprints, now):
+    def record_answer(self, fingerprints, now):
         """Take that an endpoint answered a request of this node."""
         known = tuple(
             name
@@ -243,7 +243,7 @@
         self.observe(QuarantineStarted(fingerprint, request, endings, source))
 
     def _take_answer(self, fingerprints, at):
-        news = [name for name in fingerprints if self.history.note_answer(name, at)]
+        news = [name for name in fingerprints if self.history.record_answer(name, at)]
         released = [name for name in fingerprints if self._release(name, at)]
         if news or released:
             self.gossip.add((GossipKind.ANSWERED, fingerprints, "", at), self.nodes)
--- a/packages/hingesill-core/hingesill_core/crashes/history.py
+++ b/packages/hingesill-core/hingesill_core/crashes/history.py
@@ -109,7 +109,7 @@
             return True
         return drop_closest(request.endings) is not ending
 
-    def note_answer(self, fingerprint, at):
+    def record_answer(self, fingerprint, at):
         """Take that an endpoint answered a request; return whether others need to know.
 
         Notes
--- a/packages/hingesill-core/hingesill_core/crashes/tests/crashsimulation.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/crashsimulation.py
@@ -165,7 +165,7 @@
         running = self.running[name]
         if running is not None and attempt in running:
             running.remove(attempt)
-            self.guards[attempt.node].note_answer((attempt.fingerprint,), self.now)
+            self.guards[attempt.node].record_answer((attempt.fingerprint,), self.now)
             self._begin_rounds(attempt.node)
 
     def crash(self, name, attempt):
--- a/packages/hingesill-core/hingesill_core/crashes/tests/test_guard.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/test_guard.py
@@ -87,7 +87,7 @@
         self.end(("i1", 1.0), ("i2", 1.1), ("i3", 5.0))
 
     def test_an_answer_lets_it_go(self):
-        self.guard.note_answer((BAD,), 5.1)
+        self.guard.record_answer((BAD,), 5.1)
         self.assertEqual(self.get_seconds(5.1), 0.0)
         self.assertEqual(self.changes[-1].reason, "answered")
 
@@ -134,7 +134,7 @@
     def test_an_answer_to_another_caller_leaves_the_caller_held_back(self):
         for endpoint, at in (("i1", 1.0), ("i2", 1.1)):
             self.note("one", endpoint, at)
-        self.guard.note_answer(("a-two", "b-content"), 2.0)
+        self.guard.record_answer(("a-two", "b-content"), 2.0)
         self.note("one", "i3", 5.0)
         self.assertEqual(self.get_seconds(5.0, "a-one"), QUARANTINE_SECONDS)
         self.assertEqual(self.get_seconds(5.0, "b-content"), 0.0)
@@ -181,7 +181,7 @@
 
     def test_an_older_word_does_not_undo_an_answer(self):
         self.end(("i1", 1.0), ("i2", 1.1), ("i3", 5.0))
-        self.guard.note_answer((BAD,), 6.0)
+        self.guard.record_answer((BAD,), 6.0)
         self.guard.adopt(BAD, QuarantinedRequest(1.0, 500.0, 1), SOURCE_STORE)
         self.assertEqual(self.get_seconds(7.0), 0.0)
         self.assertTrue(self.guard.is_cleared(BAD))
--- a/packages/hingesill-core/hingesill_core/crashes/tests/test_history.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/test_history.py
@@ -29,7 +29,7 @@
     def test_an_answer_takes_back_what_was_before_it(self):
         self.history.record_crash("one", EndpointCrash("i1", 10.0))
         self.history.record_crash("one", EndpointCrash("i2", 12.0))
-        self.assertTrue(self.history.note_answer("one", 11.0))
+        self.assertTrue(self.history.record_answer("one", 11.0))
         self.assertEqual(self.history.get_crashes("one"), (EndpointCrash("i2", 12.0),))
         self.assertFalse(self.history.record_crash("one", EndpointCrash("i3", 10.5)))
 
@@ -37,7 +37,7 @@
         steps = [
             ("record_crash", EndpointCrash("i1", 10.0)),
             ("record_crash", EndpointCrash("i2", 12.0)),
-            ("note_answer", 11.0),
+            ("record_answer", 11.0),
             ("record_crash", EndpointCrash("i1", 13.0)),
         ]
         results = set()
@@ -52,8 +52,8 @@
 
     def test_that_it_is_answered_again_is_no_news(self):
         self.history.record_crash("one", EndpointCrash("i1", 10.0))
-        self.assertTrue(self.history.note_answer("one", 11.0))
-        self.assertFalse(self.history.note_answer("one", 12.0))
+        self.assertTrue(self.history.record_answer("one", 11.0))
+        self.assertFalse(self.history.record_answer("one", 12.0))
 
 
 class BoundTests(unittest.TestCase):
@@ -93,6 +93,6 @@
     def test_all_is_forgotten_in_time(self):
         history = CrashHistory()
         history.record_crash("bad", EndpointCrash("i1", 1.0))
-        history.note_answer("one", 1.0)
+        history.record_answer("one", 1.0)
         history.forget(1.0 + MEMORY_SECONDS)
         self.assertEqual(len(history), 0)
--- a/packages/hingesill-core/hingesill_core/discovery/directory.py
+++ b/packages/hingesill-core/hingesill_core/discovery/directory.py
@@ -82,7 +82,7 @@
             "evacuations": len(self._evacuated.doubts),
         }
 
-    def note_return(self, now):
+    def record_return(self, now):
         """Take note that the store answers again after it did not."""
         self.returned_at = max(self.returned_at, now)
 
--- a/packages/hingesill-core/hingesill_core/discovery/relays.py
+++ b/packages/hingesill-core/hingesill_core/discovery/relays.py
@@ -110,14 +110,14 @@
         choices = near or usable
         return self.rng.choice(choices) if choices else None
 
-    def note_failure(self, relay, now):
+    def record_failure(self, relay, now):
         """Pass a relay over from ``now`` on, in seconds of the node's clock."""
         failures = self.failures.get(relay.name, 0)
         self.failures[relay.name] = failures + 1
         rest = min(LONGEST_REST, FIRST_REST * 2**failures)
         self.backoff_until[relay.name] = now + rest
 
-    def note_success(self, relay):
+    def record_success(self, relay):
         """Forget the failures of a relay that serves this node."""
         self.failures.pop(relay.name, None)
 
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_directory.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_directory.py
@@ -72,7 +72,7 @@
     def setUp(self):
         self.directory = Directory()
         self.directory.adopt(build_snapshot(10, "i1", "i2"), 0.0)
-        self.directory.note_return(20.0)
+        self.directory.record_return(20.0)
 
     def test_an_entry_that_lapsed_is_believed_for_a_while(self):
         self.directory.adopt(build_snapshot(12, "i1"), 20.0)
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_relays.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_relays.py
@@ -57,7 +57,7 @@
         self.assertTrue(choice.is_relay(self.nodes))
 
     def test_one_that_failed_is_passed_over_and_tried_again(self):
-        self.choice.note_failure(self.nodes["relay-a"], 5.0)
+        self.choice.record_failure(self.nodes["relay-a"], 5.0)
         self.assertEqual(self.choice.choose(self.nodes, 5.1).name, "relay-b")
         later = 5.0 + LONGEST_REST
         self.assertEqual(self.choice.choose(self.nodes, later).name, "relay-a")
@@ -69,14 +69,14 @@
 
     def test_nobody_is_left_once_all_have_failed(self):
         for relay in (self.nodes["relay-a"], self.nodes["relay-b"]):
-            self.choice.note_failure(relay, 5.0)
+            self.choice.record_failure(relay, 5.0)
         self.assertIsNone(self.choice.choose(self.nodes, 5.1))
 
     def test_rests_grow_with_failures_in_a_row(self):
         for _ in range(9):
-            self.choice.note_failure(self.nodes["relay-a"], 5.0)
+            self.choice.record_failure(self.nodes["relay-a"], 5.0)
         almost = 5.0 + LONGEST_REST - 0.01
         self.assertEqual(self.choice.choose(self.nodes, almost).name, "relay-b")
-        self.choice.note_success(self.nodes["relay-a"])
-        self.choice.note_failure(self.nodes["relay-a"], 6.0)
+        self.choice.record_success(self.nodes["relay-a"])
+        self.choice.record_failure(self.nodes["relay-a"], 6.0)
         self.assertEqual(self.choice.choose(self.nodes, 6.5).name, "relay-a")
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_restores.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_restores.py
@@ -57,7 +57,7 @@
         return self.directory.apply(Changes(Position(era, revision), **fields), now)
 
     def restore(self, *records, era=2, now=BACK, **fields):
-        self.directory.note_return(now)
+        self.directory.record_return(now)
         self.assertTrue(self.adopt(era, 65, now, *records, **fields))
 
 
--- a/packages/hingesill-core/hingesill_core/ratelimits/grantclient.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/grantclient.py
@@ -77,11 +77,11 @@
         self._denied_until = float("-inf")
         self._wait_until = float("-inf")
 
-    def note_request(self, now):
+    def record_request(self, now):
         """Count a request that needs a grant."""
-        self.pace.note_request(now)
+        self.pace.record_request(now)
 
-    def note_change(self, word, before):
+    def record_change(self, word, before):
         """Take that an endpoint names another limit.
 
         Parameters
--- a/packages/hingesill-core/hingesill_core/ratelimits/grants.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/grants.py
@@ -118,7 +118,7 @@
     number: int = 0
     asked_at: float | None = None
 
-    def note_request(self, now):
+    def record_request(self, now):
         """Count a request that needs a grant."""
         self.demand = self._count_demand(now) + 1
         self.noted_at = now
--- a/packages/hingesill-core/hingesill_core/ratelimits/service.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/service.py
@@ -126,7 +126,7 @@
         if not self.book.take(word):
             return False
         before = None if held is None else held.per_second
-        self.grant_client.note_change(word, before)
+        self.grant_client.record_change(word, before)
         self.observe(LimitChange(self.name, word, before, source))
         return True
 
--- a/packages/hingesill-core/hingesill_core/ratelimits/tests/limitplay.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/tests/limitplay.py
@@ -79,7 +79,7 @@
     def submit(self):
         """Take a request."""
         now = self.play.now
-        self.limits.grant_client.note_request(now)
+        self.limits.grant_client.record_request(now)
         self.waiting.append(now)
         self.look()
 
--- a/packages/hingesill-core/hingesill_core/routing/concurrencymodel.py
+++ b/packages/hingesill-core/hingesill_core/routing/concurrencymodel.py
@@ -34,7 +34,7 @@
         self.curves = LatencyCurves(pooled)
         self.usual_times = BaselineLatencies()
 
-    def note_answer(self, route, seconds, occupied, slots, now):
+    def record_answer(self, route, seconds, occupied, slots, now):
         """Take an answer.
 
         Parameters
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -116,7 +116,7 @@
         state.slots = endpoint.slots
         state.is_near = near
         state.region = endpoint.region
-        state.note_entry(endpoint.warm_in)
+        state.record_entry(endpoint.warm_in)
         state.send_limit = compute_send_limit(
             endpoint, self.service.places, self.fleet.nodes, self.fleet.fleet_limit
         )
@@ -129,7 +129,7 @@
             return False
         return not state.health.is_ejected(now)
 
-    def note_limit(self, send, named, now):
+    def record_limit(self, send, named, now):
         """Take what the head of a send's answer named as the endpoint's limit.
 
         Parameters
@@ -339,7 +339,7 @@
         state.learn(result, seconds, send.expected, now)
         self._learn_pace(send, result, seconds)
         if result.end is SendStatus.ANSWERED:
-            self.binding.note_answer(send, seconds, now)
+            self.binding.record_answer(send, seconds, now)
         if result.end in NOT_EXECUTED:
             send.ticket.sends -= 1
         # An endpoint that asks for a rest is not unhealthy.
@@ -372,7 +372,7 @@
         """Decide what follows a send that brought no answer; see `Retrying.decide`."""
         return self.retrying.decide(ticket, end, now)
 
-    def note_probe(self, endpoint, result, now):
+    def record_probe(self, endpoint, result, now):
         """Take what a probe told of an endpoint.
 
         Notes
@@ -385,7 +385,7 @@
         state.last_probe = now
         if result.report is not None:
             state.report = result.report
-            self.view.note_report(result.report)
+            self.view.record_report(result.report)
         if result.limit is not None:
             limit = result.limit
             self.limits.note(endpoint, state.born, limit, now, now, is_health=True)
@@ -397,7 +397,7 @@
         if state.health.note(result.end, now, self._may_eject(now)) or result.cold:
             state.cold_since = now
 
-    def note_suspicion(self, endpoint, ratio, now):
+    def record_suspicion(self, endpoint, ratio, now):
         """Take another node's word that an endpoint's answers are overdue.
 
         Parameters
@@ -411,7 +411,7 @@
         """
         state = self.states.get(endpoint)
         if state is not None:
-            state.note_suspicion(ratio, now)
+            state.record_suspicion(ratio, now)
 
     def mark_draining(self, endpoint, until):
         """Give an endpoint no new work until a time."""
--- a/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
+++ b/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
@@ -64,7 +64,7 @@
     turns: int = 0
     usual_ratio: float = 1.5
 
-    def note_ratio(self, ratio):
+    def record_ratio(self, ratio):
         """Take how many times longer than expected an answer took."""
         if ratio > self.usual_ratio:
             self.usual_ratio += RATIO_STEP * USUAL_SHARE
@@ -81,7 +81,7 @@
         """
         return max(LEAST_SUSPICIOUS, BEYOND_USUAL * self.usual_ratio)
 
-    def note_report(self, report):
+    def record_report(self, report):
         """Take a report into the mean."""
         others = max(0, report.running - report.own_in_flight)
         self.others += OTHERS_WEIGHT * (others - self.others)
@@ -113,7 +113,7 @@
         Where it runs; empty if that is not known.
     distance : float
         Way to its data centre and back, in typical answers' times.
-    warm_at, warmth_heard_at : float
+    warm_at, warm_up_reported_at : float
         Until when it is cold by its last word, and when that word came.
     entered_warm_in, is_entry_new : float, bool
         Seconds for which it was cold when its entry was written, and whether that
@@ -146,7 +146,7 @@
     last_probe: float = 0.0
     queried_at: float = float("-inf")
     warm_at: float = float("-inf")
-    warmth_heard_at: float = float("-inf")
+    warm_up_reported_at: float = float("-inf")
     entered_warm_in: float = 0.0
     is_entry_new: bool = False
     last_send_at: float = float("-inf")
@@ -172,12 +172,12 @@
         if self.health.is_trial_due(now):
             self.health.trial_in_flight = True
 
-    def note_warmth(self, warm_in, now):
+    def record_warm_up(self, warm_in, now):
         """Take its own word on how long it stays cold, in seconds."""
         self.warm_at = now + warm_in
-        self.warmth_heard_at = now
+        self.warm_up_reported_at = now
 
-    def note_entry(self, warm_in):
+    def record_entry(self, warm_in):
         """Take what its entry says of its warmth, in seconds from the entry's write."""
         if warm_in != self.entered_warm_in:
             self.entered_warm_in = warm_in
@@ -201,12 +201,12 @@
         """
         if result.report is not None:
             self.report = result.report
-            self.common.note_report(result.report)
+            self.common.record_report(result.report)
             self.last_heard = now
         ratio = min(MOST_SLOWNESS, seconds / expected)
         if result.end is SendStatus.ANSWERED:
             self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
-            self.common.note_ratio(ratio)
+            self.common.record_ratio(ratio)
             self.last_heard = now
         elif result.end is SendStatus.CANCELLED and ratio > self.slowness:
             self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
@@ -285,7 +285,7 @@
         oldest = next(iter(self.sent))
         return (now - oldest.started) / oldest.expected
 
-    def note_suspicion(self, ratio, now):
+    def record_suspicion(self, ratio, now):
         """Add another node's word on an answer that takes long.
 
         Notes
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -186,7 +186,7 @@
 
     def take(self, reply, now):
         """Take a reply; return the Send that it is good for, or None."""
-        state = self.note_reply(reply, now)
+        state = self.record_reply(reply, now)
         if state is None or reply.report is None or not can_get_work(state, now):
             return None
         if reply.is_unhealthy and self.unhealthy_reports.are_believed():
@@ -231,7 +231,7 @@
         usable = self.slots.get_concurrency_limit(state.report.slots, now)
         return is_good_enough(state.report, stage, usable, most)
 
-    def note_reply(self, reply, now):
+    def record_reply(self, reply, now):
         """Learn from a reply; return the endpoint's state, or None if it is gone.
 
         Notes
@@ -260,19 +260,19 @@
                     reply.endpoint, state.born, limit, sent_at, now, is_health=True
                 )
             if reply.warm_in is not None:
-                state.note_warmth(reply.warm_in, now)
+                state.record_warm_up(reply.warm_in, now)
             self.has_reports = reply.report is not None
             if reply.report is not None:
                 state.report = complete_report(reply.report, state)
                 self.selection.slowness.note(reply.report.slowness)
         return state
 
-    def note_answer(self, send, seconds, now):
+    def record_answer(self, send, seconds, now):
         """Learn from an answer how much taken slots slow work down."""
         state = self.dispatcher.find_state(send)
         if send.occupied and state is not None:
             route = send.ticket.route
-            self.slots.note_answer(route, seconds, send.occupied, state.slots, now)
+            self.slots.record_answer(route, seconds, send.occupied, state.slots, now)
 
     def expire(self, now):
         """Yield (ticket, decision) for each request that waits no longer."""
--- a/packages/hingesill-core/hingesill_core/routing/limitedrequests.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedrequests.py
@@ -31,7 +31,7 @@
         if not self.needs_grant(ticket.route, now):
             return False
         dispatcher = self._dispatcher
-        dispatcher.limits.grant_client.note_request(now)
+        dispatcher.limits.grant_client.record_request(now)
         tickets = [*dispatcher.queue, ticket]
         patience = ticket.deadline - now
         dispatcher.limits.grant_client.want(len(tickets), patience, now)
--- a/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
@@ -35,7 +35,7 @@
         self._grant_client.want_trial(now)
         if not self._requests.needs_grant(ticket.route, now):
             return True
-        self._grant_client.note_request(now)
+        self._grant_client.record_request(now)
         self.want_grants(now)
         return ticket not in self.list_surplus(now)
 
--- a/packages/hingesill-core/hingesill_core/routing/tests/playednode.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/playednode.py
@@ -163,7 +163,7 @@
         attempt.live.remove(send)
         now = self.play.now
         named = self.play.endpoints[send.endpoint].name_limit()
-        self.dispatcher.note_limit(send, named, now)
+        self.dispatcher.record_limit(send, named, now)
         self.dispatcher.settle(send, result, now)
         if result.end is SendStatus.ANSWERED:
             self._close(attempt)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_concurrencylevels.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_concurrencylevels.py
@@ -192,7 +192,7 @@
         for turn in range(answers):
             level = 1 + turn % 3
             seconds = 0.34 if level == 3 else 0.2
-            slots.note_answer(self.ROUTE, seconds, level, 3, turn / 10)
+            slots.record_answer(self.ROUTE, seconds, level, 3, turn / 10)
 
     def test_many_nodes_learn_what_none_could_alone(self):
         relay = self.build_knowledge()
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
@@ -198,7 +198,7 @@
         self.assertEqual(self.count(now=0.2)[stuck.endpoint], 0)
 
     def test_suspicion_counts_and_fades(self):
-        self.dispatcher.note_suspicion(ADDRESSES[0], 8.0, 1.0)
+        self.dispatcher.record_suspicion(ADDRESSES[0], 8.0, 1.0)
         self.assertEqual(self.count(now=1.0)[ADDRESSES[0]], 0)
         self.assertGreater(self.count(now=2.0)[ADDRESSES[0]], 0)
 
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_latebinding.py
@@ -187,7 +187,7 @@
     def test_a_slow_endpoint_is_not_asked_first_for_its_connection(self):
         self.binding.selection.is_connected = lambda identity: identity in ("i1", "i3")
         for name in ("i1", "i3"):
-            self.binding.note_reply(reply(name, 0, slowness=9.0), 0.0)
+            self.binding.record_reply(reply(name, 0, slowness=9.0), 0.0)
         times = [0.1 * turn for turn in range(1, 9)]
         asks = [self.dispatcher.submit(Ticket(ROUTE, t, t + 2.0), t) for t in times]
         self.assertTrue({"i0", "i2"} & {name for ask in asks for name in ask.endpoints})
@@ -261,7 +261,7 @@
 
     def test_silent_endpoints_are_asked_less(self):
         for _ in range(2):
-            self.binding.note_reply(LoadReply("i0", SendStatus.LOST), 0.0)
+            self.binding.record_reply(LoadReply("i0", SendStatus.LOST), 0.0)
         asked = set()
         for _ in range(10):
             ask = self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.1)
@@ -274,7 +274,7 @@
                 Ticket(ROUTE, 0.0, 2.0), self.dispatcher.states["i0"], 0.0
             )
             self.dispatcher.settle(send, SendResult(SendStatus.FAULT), 0.05)
-            self.binding.note_reply(reply("i0", 0), 0.05)
+            self.binding.record_reply(reply("i0", 0), 0.05)
         self.assertFalse(self.dispatcher.states["i0"].health.is_open())
 
     def test_an_ejected_endpoint_gets_no_request(self):
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_lives.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_lives.py
@@ -69,10 +69,10 @@
     def test_nor_does_a_late_reply_of_it(self):
         state = self.start_again()
         late = replace(reply("i0", 0), born=100)
-        self.assertIsNone(self.dispatcher.binding.note_reply(late, 0.5))
+        self.assertIsNone(self.dispatcher.binding.record_reply(late, 0.5))
         self.assertIsNone(state.report)
         now = replace(late, born=200)
-        self.assertIs(self.dispatcher.binding.note_reply(now, 0.5), state)
+        self.assertIs(self.dispatcher.binding.record_reply(now, 0.5), state)
 
     def test_what_must_not_be_repeated_is_not_sent_to_the_next_life(self):
         ticket = Ticket(ONCE, 0.0, 2.0)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
@@ -86,7 +86,7 @@
         limits = [WarmUpLimit(rate=RATE, nodes=self.NODES) for _ in range(self.NODES)]
         states = [EndpointState("i1") for _ in limits]
         for state in states:
-            state.note_entry(self.SECONDS)
+            state.record_entry(self.SECONDS)
         times = []
         for turn in range(int(self.SECONDS * 100)):
             now = 1.0 + turn * 0.01
@@ -143,7 +143,7 @@
             limits[number].record_queries(1, now)
             if rng.randrange(self.ENDPOINTS):
                 continue
-            states[number].note_warmth(1.0, now)
+            states[number].record_warm_up(1.0, now)
             if limits[number].allows(states[number], 0, now, rng):
                 states[number].last_send_at = now
                 sent.append(now)
--- a/packages/hingesill-core/hingesill_core/routing/warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/warmup.py
@@ -75,7 +75,7 @@
         """Tell whether an endpoint is cold, or may be as it did not tell for long."""
         if not self.rate:
             return False
-        return now < state.warm_at or now - state.warmth_heard_at > WORD_HOLDS
+        return now < state.warm_at or now - state.warm_up_reported_at > WORD_HOLDS
 
     def allows(self, state, running, now, rng):
         """Tell whether this node may send to an endpoint that just told its load.
@@ -114,7 +114,7 @@
             return True
         if state.is_entry_new:
             state.is_entry_new = False
-            state.note_warmth(state.entered_warm_in, now)
+            state.record_warm_up(state.entered_warm_in, now)
         if now >= state.warm_at:
             return True
         return state.cold_share.take(self.rate, self.nodes, now, rng)
--- a/packages/hingesill-node/hingesill_node/control/node.py
+++ b/packages/hingesill-node/hingesill_node/control/node.py
@@ -70,7 +70,7 @@
             return error
         port = DatagramPort(self.counters)
         port.start(self.address)
-        self.announcements.start(port, runners.note_suspicion)
+        self.announcements.start(port, runners.record_suspicion)
         CrashGossip(runners.guard, self._list_peers, self.counters).start(port)
         LimitExchange(
             runners.limits, port, self._list_peers, runners, self.counters
--- a/packages/hingesill-node/hingesill_node/crashes/requestguard.py
+++ b/packages/hingesill-node/hingesill_node/crashes/requestguard.py
@@ -74,14 +74,14 @@
             request.fingerprints, self.clock(), pending
         )
 
-    def note_lost(self, request, endpoint, address):
+    def handle_lost_response(self, request, endpoint, address):
         """Have it found out whether an endpoint ended while it had a request."""
         self._checks.begin(endpoint, address, request.fingerprints)
 
-    def note_answer(self, request):
+    def record_answer(self, request):
         """Take that an endpoint answered a request."""
         if not self.decisions.is_idle:
-            self.decisions.note_answer(request.fingerprints, self.clock())
+            self.decisions.record_answer(request.fingerprints, self.clock())
 
     def _note_endings(self, endpoint, requests):
         now = self.clock()
--- a/packages/hingesill-node/hingesill_node/crashes/tests/test_quarantinestore.py
+++ b/packages/hingesill-node/hingesill_node/crashes/tests/test_quarantinestore.py
@@ -101,7 +101,7 @@
     def test_one_that_was_answered_is_removed(self):
         self.save_quarantine()
         self.directory.held = {"a1": QuarantineRecord("a1", DAY + 97.0, DAY + 700.0, 1)}
-        self.guard.decisions.note_answer(BAD, 101.0)
+        self.guard.decisions.record_answer(BAD, 101.0)
         self.holds.review()
         self.assertEqual(self.store.let_gone, ["a1"])
 
--- a/packages/hingesill-node/hingesill_node/datapath/exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/exchange.py
@@ -245,7 +245,7 @@
             result = read_result(
                 live, self.clock(), in_flight, self.wire, self.request.request_id
             )
-            self.runner.note_head(live.send, result)
+            self.runner.record_head(live.send, result)
             if result.end is SendStatus.REFUSED:
                 keep = self._drain_short_body(live)
                 return self.sends.end(live, result, keep)
@@ -304,7 +304,7 @@
             self.counters.add(
                 "refusals", self.service, RefusalReason.ANSWER_SHORT.value
             )
-            self.sends.note_lost(live)
+            self.sends.handle_lost_response(live)
             raise ConnectionAbortedError(str(error)) from error
         finally:
             result = self.pending_result
--- a/packages/hingesill-node/hingesill_node/datapath/prober.py
+++ b/packages/hingesill-node/hingesill_node/datapath/prober.py
@@ -75,7 +75,7 @@
         finally:
             connection.close()
         if result is not None:
-            runner.dispatcher.note_probe(address, result, runner.clock())
+            runner.dispatcher.record_probe(address, result, runner.clock())
 
     def _send(self, name, runner, address, pace, connection):
         """Send and return what came, or None if the budget does not allow it.
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -141,7 +141,7 @@
         if self.held:
             self.pump()
 
-    def note_head(self, send, result):
+    def record_head(self, send, result):
         """Take what an answer's head says on further requests, before its body comes.
 
         Parameters
@@ -157,7 +157,7 @@
             self._complain(Event.LIMIT_INVALID, send.endpoint, now)
         if not backoff.is_valid:
             self._complain(Event.REST_INVALID, send.endpoint, now)
-        self.dispatcher.note_limit(send, limit, now)
+        self.dispatcher.record_limit(send, limit, now)
         self.dispatcher.service_availability.note(
             send.endpoint, send.born, backoff, result.leaving, now
         )
--- a/packages/hingesill-node/hingesill_node/datapath/runnertable.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runnertable.py
@@ -175,11 +175,11 @@
             if name in self.runners:
                 self.runners[name].slots.mark_published(profile, now)
 
-    def note_suspicion(self, endpoint, ratio):
+    def record_suspicion(self, endpoint, ratio):
         """Take another node's word on an endpoint."""
         now = self.clock()
         for runner in self.runners.values():
-            runner.dispatcher.note_suspicion(endpoint, ratio, now)
+            runner.dispatcher.record_suspicion(endpoint, ratio, now)
 
     def count_held(self):
         """Return the requests held at this node."""
--- a/packages/hingesill-node/hingesill_node/datapath/sends.py
+++ b/packages/hingesill-node/hingesill_node/datapath/sends.py
@@ -148,11 +148,13 @@
     def _tell_guard(self, live, end):
         """Tell whether the endpoint lived through the request."""
         if end is SendStatus.LOST:
-            self.note_lost(live)
+            self.handle_lost_response(live)
         elif end in LIVED_THROUGH:
-            self.runner.guard.note_answer(self.request)
+            self.runner.guard.record_answer(self.request)
 
-    def note_lost(self, live):
+    def handle_lost_response(self, live):
         """Have it found out whether the endpoint ended while it had the request."""
         self.story.has_lost = True
-        self.runner.guard.note_lost(self.request, live.send.endpoint, live.pool.address)
+        self.runner.guard.handle_lost_response(
+            self.request, live.send.endpoint, live.pool.address
+        )
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_guarded.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_guarded.py
@@ -65,7 +65,7 @@
         self.ticket.sends = 1
         self.ticket.exposed = True
         self.end(2.0, 1.9)
-        self.guard.note_lost(self.request, "i1", "127.0.0.1:1")
+        self.guard.handle_lost_response(self.request, "i1", "127.0.0.1:1")
         decision = self.exchange._decide_after(SendStatus.LOST)
         self.assertIsInstance(decision, Refusal)
         counts = self.exchange.counters.list_counts("retries")
--- a/packages/hingesill-node/hingesill_node/discovery/follower.py
+++ b/packages/hingesill-node/hingesill_node/discovery/follower.py
@@ -260,7 +260,7 @@
                     log_event(Event.RELAY_CAUGHT_UP, relay=relay.name)
                     return
         except RelayLost as error:
-            self.choice.note_failure(relay, self.clock())
+            self.choice.record_failure(relay, self.clock())
             self._relays_live = error.lives
             self._look_from = self.clock() + LOOK_SECONDS
             if self.follows:
@@ -279,7 +279,7 @@
         now = self.clock()
         self.heard_at = now
         if frame.return_age is not None:
-            self.directory.note_return(now - frame.return_age)
+            self.directory.record_return(now - frame.return_age)
         if frame.kind is FrameKind.WHOLE:
             self._begin_stream(relay, frame.content)
         elif frame.kind is FrameKind.CHANGES:
@@ -292,9 +292,9 @@
         self.is_synced = False
         self.feed.close("the node follows a relay")
         self.follows = relay.name
-        self.choice.note_success(relay)
+        self.choice.record_success(relay)
         self.is_store_available = True
-        self.pauses.note_news()
+        self.pauses.record_update()
         self.is_sure = True
         # One that is behind is no fault: it is asked again once it has caught up.
         if not self.held.take(self.directory.adopt, snapshot):
@@ -316,7 +316,7 @@
             self._note_failure(answer)
         elif isinstance(answer, Changes):
             self._note_answer()
-            self.pauses.note_answer()
+            self.pauses.record_answer()
             self._take_changes(answer)
         else:
             self._note_answer()
@@ -383,7 +383,7 @@
         self.heard_at = now
         if not self.is_store_available:
             self.is_store_available = True
-            self.directory.note_return(now)
+            self.directory.record_return(now)
             log_event(Event.STORE_BACK, position=str(self.directory.position))
 
     def _take_changes(self, changes):
@@ -396,13 +396,13 @@
     def _take_snapshot(self, snapshot):
         if self.directory.is_restored_by(snapshot.position):
             # It may have been away too briefly for any call to fail.
-            self.directory.note_return(self.clock())
+            self.directory.record_return(self.clock())
         if not self.held.take(self.directory.adopt, snapshot):
             held, read = self.directory.position, snapshot.position
             log_event(Event.STORE_BEHIND, held=str(held), read=str(read))
             self._pause()
             return
-        self.pauses.note_answer()
+        self.pauses.record_answer()
         self.is_synced = True
         self._read_at = self.clock()
         self.held.publish_changes()
--- a/packages/hingesill-node/hingesill_node/discovery/storepauses.py
+++ b/packages/hingesill-node/hingesill_node/discovery/storepauses.py
@@ -83,12 +83,12 @@
         had_turn, self.has_unread_return = self.has_unread_return, False
         return had_turn
 
-    def note_news(self):
+    def record_update(self):
         """Take note that a relay tells what the store holds."""
         self.has_unread_return = False
         self._follower.reset()
 
-    def note_answer(self):
+    def record_answer(self):
         """Take note that the store has answered."""
         self._relay.reset()
         self._follower.reset()
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
@@ -154,7 +154,7 @@
         self.assertEqual(sorted(self.follower.directory.endpoints), ["i1", "i2"])
 
     def test_what_a_relay_saw_of_an_outage_is_passed_on(self):
-        self.relay.follower.directory.note_return(time.monotonic() - 1.0)
+        self.relay.follower.directory.record_return(time.monotonic() - 1.0)
         self.start()
         age = self.follower.directory.get_return_age(time.monotonic())
         self.assertAlmostEqual(age, 1.0, delta=0.5)
