--- a/packages/hingesill-core/hingesill_core/configuration/changelog.py
+++ b/packages/hingesill-core/hingesill_core/configuration/changelog.py
@@ -14,7 +14,7 @@
 from hingesill_core.configuration.snapshots import Snapshots
 from hingesill_core.configuration.state import Applied
 from hingesill_core.configuration.tail import Tail, decode_tail, encode_tail
-from hingesill_core.store import Missing, StoreFailure, Value, Written
+from hingesill_core.store import KeyMissing, StoreFailure, Value, Written
 
 __all__ = [
     "Accepted",
@@ -113,7 +113,7 @@
         return self._decode(self.store.watch(self.tail_key, version, timeout))
 
     def _decode(self, answer):
-        if isinstance(answer, Missing):
+        if isinstance(answer, KeyMissing):
             return Tail(version=answer.version)
         if not isinstance(answer, Value):
             return answer
@@ -122,7 +122,7 @@
         except ValueError as error:
             return StoreFailure(str(error))
 
-    def bring_up(self, replica, tail):
+    def catch_up(self, replica, tail):
         """Bring a replica up to a tail, through segments or a snapshot.
 
         Returns
@@ -206,7 +206,7 @@
         tail = self.read_tail()
         if isinstance(tail, StoreFailure):
             return self._explain_failure(exposed, tail.reason)
-        caught_up = self.bring_up(replica, tail)
+        caught_up = self.catch_up(replica, tail)
         if isinstance(caught_up, StoreFailure):
             return self._explain_failure(exposed, caught_up.reason)
         if caught_up in (Applied.OLDER, Applied.FORKED):
@@ -250,7 +250,7 @@
         reason = Rejection.UNKNOWN if exposed else Rejection.UNAVAILABLE
         return Rejected(reason, detail)
 
-    def delete_before(self, snapshot):
+    def truncate_before(self, snapshot):
         """Delete an old snapshot and the segments that it holds already.
 
         Parameters
--- a/packages/hingesill-core/hingesill_core/configuration/services.py
+++ b/packages/hingesill-core/hingesill_core/configuration/services.py
@@ -10,7 +10,7 @@
     "MOST_SENDS",
     "Bursts",
     "Endpoint",
-    "Part",
+    "WeightedService",
     "ProbeBudget",
     "Route",
     "SendBudget",
@@ -40,7 +40,7 @@
         return self.instance or self.address
 
 
-class Part(Struct, frozen=True):
+class WeightedService(Struct, frozen=True):
     """One service of a split route, with its share of the requests.
 
     Parameters
@@ -95,7 +95,7 @@
     target: float = 0.0
     rank: int = 0
     most_sends: int = MOST_SENDS
-    parts: tuple[Part, ...] = ()
+    parts: tuple[WeightedService, ...] = ()
     homes: tuple[str, ...] = ()
 
     def choose_service(self, rng):
--- a/packages/hingesill-core/hingesill_core/configuration/snapshots.py
+++ b/packages/hingesill-core/hingesill_core/configuration/snapshots.py
@@ -10,7 +10,7 @@
     decode_difference,
     encode_difference,
 )
-from hingesill_core.store import Conflicting, StoreFailure, Value, Written
+from hingesill_core.store import StoreFailure, Value, VersionConflict, Written
 
 __all__ = ["SNAPSHOT_PART_BYTES", "Snapshot", "Snapshots"]
 
@@ -69,7 +69,7 @@
             return head
         before = decode_snapshot(head)
         if before.revision >= replica.revision:
-            return Conflicting()
+            return VersionConflict()
         whole = encode_difference(replica.build_difference())
         digest = hashlib.blake2b(whole, digest_size=8).hexdigest()
         folder = f"{self.prefix}/{replica.revision:012d}-{digest}"
--- a/packages/hingesill-core/hingesill_core/configuration/tests/test_changelog.py
+++ b/packages/hingesill-core/hingesill_core/configuration/tests/test_changelog.py
@@ -13,10 +13,10 @@
 from hingesill_core.configuration.snapshots import Snapshot
 from hingesill_core.configuration.state import Applied, Replica
 from hingesill_core.store import (
-    Conflicting,
-    Missing,
+    KeyMissing,
     StoreFailure,
     Value,
+    VersionConflict,
     Written,
 )
 
@@ -35,7 +35,7 @@
         self.delayed = []
 
     def get(self, key):
-        return StoreFailure("down") if self.down else self.values.get(key, Missing())
+        return StoreFailure("down") if self.down else self.values.get(key, KeyMissing())
 
     def put(self, key, data, expected):
         if self.down:
@@ -44,8 +44,8 @@
             self.drop_writes -= 1
             self.delayed.append((key, data, expected))
             return StoreFailure("dropped", True)
-        if self.values.get(key, Missing()).version != expected:
-            return Conflicting()
+        if self.values.get(key, KeyMissing()).version != expected:
+            return VersionConflict()
         self.counter += 1
         self.values[key] = Value(data, self.counter)
         if self.lose_answers:
@@ -93,7 +93,7 @@
     def test_accepted_change_is_read_by_another(self):
         self.assertEqual(self.append(ask("op-1")), Accepted(1))
         other = Replica()
-        outcome = self.log.bring_up(other, self.log.read_tail())
+        outcome = self.log.catch_up(other, self.log.read_tail())
         self.assertIs(outcome, Applied.APPLIED)
         self.assertEqual(other.services["arena"].document, "{}")
         self.assertEqual(other.chain, self.replica.chain)
@@ -106,7 +106,7 @@
     def test_dropped_write_is_written_again(self):
         self.store.drop_writes = 1
         self.assertEqual(self.append(ask("op-1")), Accepted(1))
-        self.assertEqual(self.store.deliver_delayed(), [Conflicting()])
+        self.assertEqual(self.store.deliver_delayed(), [VersionConflict()])
         self.assertEqual(self.log.read_tail().revision, 1)
 
     def test_unknown_when_the_store_stays_away(self):
@@ -145,7 +145,7 @@
             self.assertIsInstance(self.append(request), Accepted)
         self.assertGreater(len(self.store.values), 3)
         other = Replica()
-        self.log.bring_up(other, self.log.read_tail())
+        self.log.catch_up(other, self.log.read_tail())
         self.assertEqual(other.revision, 200)
 
     def test_snapshot_takes_the_place_of_segments(self):
@@ -155,7 +155,7 @@
         for key in [key for key in self.store.values if "segment" in key]:
             del self.store.values[key]
         other = Replica()
-        self.log.bring_up(other, self.log.read_tail())
+        self.log.catch_up(other, self.log.read_tail())
         self.assertEqual(other.revision, 100)
 
     def test_store_does_not_grow_for_ever(self):
@@ -164,11 +164,11 @@
             self.append(ask(f"op-{number}", expected=number, document="x" * 200))
             if number % 50 == 49:
                 before = self.log.snapshots.save(self.replica)
-                self.log.delete_before(before)
+                self.log.truncate_before(before)
                 sizes.append(len(self.store.values))
         self.assertLessEqual(max(sizes), 8, sizes)
         other = Replica()
-        self.log.bring_up(other, self.log.read_tail())
+        self.log.catch_up(other, self.log.read_tail())
         self.assertEqual(other.revision, 400)
 
     def test_restored_store_is_recognised(self):
@@ -176,7 +176,7 @@
         early = dict(self.store.values)
         self.append(ask("op-2", expected=1))
         self.store.values = early
-        outcome = self.log.bring_up(self.replica, self.log.read_tail())
+        outcome = self.log.catch_up(self.replica, self.log.read_tail())
         self.assertIs(outcome, Applied.OLDER)
         verdict = self.append(ask("op-3", expected=2))
         self.assertIs(verdict.reason, Rejection.STORE_BEHIND)
@@ -188,6 +188,6 @@
         self.append(ask("op-2", expected=1))
         self.store.values = early
         self.append(ask("op-x", expected=1, document="other"), Replica())
-        outcome = self.log.bring_up(self.replica, self.log.read_tail())
+        outcome = self.log.catch_up(self.replica, self.log.read_tail())
         self.assertIs(outcome, Applied.FORKED)
         self.assertEqual(self.replica.services["arena"].document, "{}")
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_directory.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_directory.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies as st
 
-from hingesill_core.configuration.services import Part, Route, SendBudget
+from hingesill_core.configuration.services import Route, SendBudget, WeightedService
 from hingesill_core.discovery.assembly import ServiceRules, build_services
 from hingesill_core.discovery.deferral import RETURN_SECONDS
 from hingesill_core.discovery.directory import Directory
@@ -121,7 +121,7 @@
         self.assertEqual([e.identity for e in service.endpoints], ["i1", "i2"])
 
     def test_parts_share_by_weight(self):
-        parts = (Part("arena", 90), Part("ledger", 10))
+        parts = (WeightedService("arena", 90), WeightedService("ledger", 10))
         route = Route("", "", "/a/", True, True, 1.0, parts=parts)
 
         class Rng:
--- a/packages/hingesill-core/hingesill_core/store.py
+++ b/packages/hingesill-core/hingesill_core/store.py
@@ -9,10 +9,10 @@
 from msgspec import Struct
 
 __all__ = [
-    "Conflicting",
-    "Held",
+    "VersionConflict",
+    "LeaseGranted",
     "LeaseLost",
-    "Missing",
+    "KeyMissing",
     "Store",
     "StoreFailure",
     "Unchanged",
@@ -30,7 +30,7 @@
     version: int
 
 
-class Missing(Struct, frozen=True):
+class KeyMissing(Struct, frozen=True):
     """The key holds nothing; a CAS that creates it names version 0."""
 
     version: int = 0
@@ -44,7 +44,7 @@
     """The write took effect."""
 
 
-class Conflicting(Struct, frozen=True):
+class VersionConflict(Struct, frozen=True):
     """The key has another version; the write did not take effect."""
 
 
@@ -63,7 +63,7 @@
     may_have_run: bool = False
 
 
-class Held(Struct, frozen=True):
+class LeaseGranted(Struct, frozen=True):
     """The lease is held.
 
     Parameters
--- a/packages/hingesill-node/hingesill_node/control/probeshares.py
+++ b/packages/hingesill-node/hingesill_node/control/probeshares.py
@@ -9,7 +9,7 @@
     PROBE_SHARES,
     ProbeShare,
 )
-from hingesill_core.store import Held, LeaseLost
+from hingesill_core.store import LeaseGranted, LeaseLost
 from hingesill_node.clocks import read_boot_time
 from hingesill_node.telemetry.events import Event, log_event
 
@@ -75,7 +75,7 @@
         answer = await self.store_calls.run(
             self.store.acquire, key, name, PROBE_SHARE_TTL_SECONDS
         )
-        if not isinstance(answer, Held):
+        if not isinstance(answer, LeaseGranted):
             return False
         self.share = ProbeShare.acquire(number, answer.lease, answer.ttl, asked_at)
         log_event(Event.PROBE_SHARE_HELD, share=number)
@@ -88,7 +88,7 @@
         answer = await self.store_calls.run(
             self.store.renew, share.lease, PROBE_SHARE_TTL_SECONDS
         )
-        if isinstance(answer, Held):
+        if isinstance(answer, LeaseGranted):
             share.renew(answer.ttl, asked_at)
             self.publish(share)
         elif isinstance(answer, LeaseLost) or not share.is_held(read_boot_time()):
--- a/packages/hingesill-node/hingesill_node/control/spreader.py
+++ b/packages/hingesill-node/hingesill_node/control/spreader.py
@@ -102,7 +102,7 @@
     async def _take_tail(self, answer, confirmed, backoff):
         """Take what a read or a watch brought."""
         if isinstance(answer, Tail):
-            outcome = await self.bring_up(answer)
+            outcome = await self.catch_up(answer)
             if isinstance(outcome, StoreFailure):
                 self.tail_version = None
                 await asyncio.sleep(backoff.get_pause())
@@ -115,10 +115,10 @@
         self.state.confirm(confirmed)
         await self._snapshot_now_and_then()
 
-    async def bring_up(self, tail):
+    async def catch_up(self, tail):
         """Bring the node's replica up to a tail; return what became of it."""
         copy = copy_replica(self.state.replica)
-        outcome = await self.store_calls.run(self.changelog.bring_up, copy, tail)
+        outcome = await self.store_calls.run(self.changelog.catch_up, copy, tail)
         if outcome is Applied.APPLIED:
             since = self.state.replica.revision
             self.state.adopt(copy.build_difference(min(since, copy.revision)), "store")
@@ -141,7 +141,7 @@
         copy = copy_replica(replica)
         before = await self.store_calls.run(self.changelog.snapshots.save, copy)
         if isinstance(before, Snapshot):
-            await self.store_calls.run(self.changelog.delete_before, before)
+            await self.store_calls.run(self.changelog.truncate_before, before)
 
     async def _follow(self):
         """Subscribe to a parent, the next one after each failure."""
--- a/packages/hingesill-node/hingesill_node/discovery/registration.py
+++ b/packages/hingesill-node/hingesill_node/discovery/registration.py
@@ -5,7 +5,7 @@
 
 import eventlet
 
-from hingesill_core.store import Held, LeaseLost, StoreFailure
+from hingesill_core.store import LeaseGranted, LeaseLost, StoreFailure
 from hingesill_node.telemetry.events import Event, log_event
 
 __all__ = ["Registration"]
@@ -93,7 +93,7 @@
         """
         answer = self.source.resume(self.node)
         self._may_resume = isinstance(answer, StoreFailure)
-        if isinstance(answer, Held):
+        if isinstance(answer, LeaseGranted):
             self.entered_at = self.clock()
         return answer
 
@@ -124,11 +124,11 @@
     def _note(self, answer):
         """Take the store's answer, and set when to call it again."""
         was_held = self.lease is not None
-        if isinstance(answer, Held):
+        if isinstance(answer, LeaseGranted):
             self.lease = answer.lease
         elif isinstance(answer, LeaseLost):
             self.lease = None
-        pause = RENEW_SECONDS if isinstance(answer, Held) else RETRY_SECONDS
+        pause = RENEW_SECONDS if isinstance(answer, LeaseGranted) else RETRY_SECONDS
         self.call_at = self.clock() + pause * random.uniform(0.7, 1.3)
         if was_held != (self.lease is not None):
             event = Event.NODE_ENTERED if self.lease else Event.NODE_ENTRY_LOST
--- a/packages/hingesill-node/hingesill_node/discovery/tests/restoringfleet.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/restoringfleet.py
@@ -5,7 +5,7 @@
 
 from hingesill_core.discovery.position import Position
 from hingesill_core.discovery.records import Changes, StoreRestored
-from hingesill_core.store import Held, LeaseLost, StoreFailure
+from hingesill_core.store import LeaseGranted, LeaseLost, StoreFailure
 from hingesill_node.discovery.registration import Registration
 from hingesill_node.discovery.tests.test_follower import build_snapshot
 from hingesill_node.discovery.tests.virtualfleet import (
@@ -126,7 +126,7 @@
         if not self._write():
             return StoreFailure("status 503")
         self.store.write(nodes={node.name: node})
-        return Held(lease, seconds)
+        return LeaseGranted(lease, seconds)
 
     def resume(self, node):
         """Go on with an entry."""
@@ -134,7 +134,7 @@
             return StoreFailure("status 503")
         if self.store.snapshot.nodes.get(node.name) != node:
             return LeaseLost()
-        return Held(f"{self.store.snapshot.position.era}/1", LEASE_SECONDS)
+        return LeaseGranted(f"{self.store.snapshot.position.era}/1", LEASE_SECONDS)
 
     def renew(self, lease):
         """Renew a lease; one of an era before would be another node's."""
@@ -142,7 +142,7 @@
             return StoreFailure("status 503")
         if int(lease.split("/")[0]) != self.store.snapshot.position.era:
             raise AssertionError(f"{self.name} renews lease {lease} of an earlier era")
-        return Held(lease, LEASE_SECONDS)
+        return LeaseGranted(lease, LEASE_SECONDS)
 
 
 class RestoringFleet(Fleet):
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_registration.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_registration.py
@@ -3,7 +3,7 @@
 import unittest
 
 from hingesill_core.discovery.records import NodeRecord
-from hingesill_core.store import Held, LeaseLost, StoreFailure
+from hingesill_core.store import LeaseGranted, LeaseLost, StoreFailure
 from hingesill_node.discovery.registration import LISTED_SECONDS, Registration
 
 
@@ -11,9 +11,9 @@
     """Answers what a test sets, and counts."""
 
     def __init__(self, held=False):
-        self.resume_answer = Held("7", 120.0) if held else LeaseLost()
+        self.resume_answer = LeaseGranted("7", 120.0) if held else LeaseLost()
         self.calls = []
-        self.answer = Held("7", 120.0)
+        self.answer = LeaseGranted("7", 120.0)
 
     def resume(self, node):
         self.calls.append("resume")
@@ -58,7 +58,7 @@
         self.assertEqual(self.source.calls, ["resume", "enter"])
 
     def test_a_process_that_starts_anew_writes_nothing(self):
-        self.source.resume_answer = Held("7", 120.0)
+        self.source.resume_answer = LeaseGranted("7", 120.0)
         self.turn()
         self.turn()
         self.assertEqual(self.source.calls, ["resume"])
@@ -70,7 +70,7 @@
         for self.now in range(1, 9):
             self.turn()
         self.assertEqual(self.source.calls, ["resume"])
-        self.source.resume_answer = Held("7", 120.0)
+        self.source.resume_answer = LeaseGranted("7", 120.0)
         self.is_up = True
         self.turn()
         self.turn()
@@ -92,7 +92,7 @@
         self.turn()
         self.assertEqual(self.registration.lease, "7")
         self.now = 70.0
-        self.source.answer = Held("7", 120.0)
+        self.source.answer = LeaseGranted("7", 120.0)
         self.turn()
         self.assertEqual(self.source.calls, ["resume", "enter", "renew", "renew"])
 
@@ -102,7 +102,7 @@
         self.source.answer = LeaseLost()
         self.turn()
         self.now = 70.0
-        self.source.answer = Held("8", 120.0)
+        self.source.answer = LeaseGranted("8", 120.0)
         self.turn()
         self.assertEqual(self.registration.lease, "8")
 
@@ -120,7 +120,7 @@
         self.era = 2
         self.turn()
         self.assertEqual(self.source.calls, [])
-        self.source.resume_answer = Held("2/9", 120.0)
+        self.source.resume_answer = LeaseGranted("2/9", 120.0)
         self.now = self.registration.call_at
         self.turn()
         self.assertEqual(self.source.calls, ["resume"])
--- a/packages/hingesill-node/hingesill_node/store/consul.py
+++ b/packages/hingesill-node/hingesill_node/store/consul.py
@@ -12,13 +12,13 @@
 import urllib3
 
 from hingesill_core.store import (
-    Conflicting,
-    Held,
+    KeyMissing,
+    LeaseGranted,
     LeaseLost,
-    Missing,
     StoreFailure,
     Unchanged,
     Value,
+    VersionConflict,
     Written,
 )
 from hingesill_node.store.registry import STORES
@@ -85,7 +85,7 @@
         if isinstance(response, StoreFailure):
             return response
         if response.status == NOT_FOUND:
-            return Missing()
+            return KeyMissing()
         try:
             item = json.loads(response.data)[0]
             return Value(
@@ -97,7 +97,7 @@
     def put(self, key, data, expected):
         """See `hingesill_core.store.Store`."""
         path = f"kv/{quote(key)}?cas={expected}"
-        return self._write("PUT", path, data, Conflicting())
+        return self._write("PUT", path, data, VersionConflict())
 
     def _write(self, method, path, body, refused):
         response = self._call(method, path, body=body)
@@ -120,7 +120,7 @@
             f"kv/{quote(key)}?index={index}&wait={wait}",
             timeout + WATCH_SLACK_SECONDS,
         )
-        same = isinstance(answer, (Value, Missing)) and answer.version == version
+        same = isinstance(answer, (Value, KeyMissing)) and answer.version == version
         return Unchanged() if same else answer
 
     def acquire(self, key, holder, ttl):
@@ -136,7 +136,7 @@
         path = f"kv/{quote(key)}?acquire={lease}"
         taken = self._write("PUT", path, holder.encode(), LeaseLost())
         if isinstance(taken, Written):
-            return Held(lease, ttl)
+            return LeaseGranted(lease, ttl)
         self.release(lease)
         return taken
 
@@ -145,7 +145,7 @@
         response = self._call("PUT", f"session/renew/{quote(lease)}")
         if isinstance(response, StoreFailure):
             return response
-        return Held(lease, ttl) if response.status == 200 else LeaseLost()
+        return LeaseGranted(lease, ttl) if response.status == 200 else LeaseLost()
 
     def release(self, lease):
         """See `hingesill_core.store.Store`."""
--- a/packages/hingesill-node/hingesill_node/store/memory.py
+++ b/packages/hingesill-node/hingesill_node/store/memory.py
@@ -6,12 +6,12 @@
 from msgspec import Struct
 
 from hingesill_core.store import (
-    Conflicting,
-    Held,
+    KeyMissing,
+    LeaseGranted,
     LeaseLost,
-    Missing,
     Unchanged,
     Value,
+    VersionConflict,
     Written,
 )
 from hingesill_node.store.registry import STORES
@@ -56,13 +56,13 @@
     def get(self, key):
         """See `hingesill_core.store.Store`."""
         with self._changed:
-            return self._values.get(key, Missing())
+            return self._values.get(key, KeyMissing())
 
     def put(self, key, data, expected):
         """See `hingesill_core.store.Store`."""
         with self._changed:
-            if self._values.get(key, Missing()).version != expected:
-                return Conflicting()
+            if self._values.get(key, KeyMissing()).version != expected:
+                return VersionConflict()
             self._counter += 1
             self._values[key] = Value(bytes(data), self._counter)
             self._changed.notify_all()
@@ -79,12 +79,12 @@
         """See `hingesill_core.store.Store`."""
 
         def has_changed():
-            return self._values.get(key, Missing()).version != version
+            return self._values.get(key, KeyMissing()).version != version
 
         with self._changed:
             if not self._changed.wait_for(has_changed, timeout):
                 return Unchanged()
-            return self._values.get(key, Missing())
+            return self._values.get(key, KeyMissing())
 
     def acquire(self, key, holder, ttl):
         """See `hingesill_core.store.Store`."""
@@ -96,7 +96,7 @@
             self._counter += 1
             lease = f"lease-{self._counter}"
             self._leases[lease] = LeaseRecord(key, holder, now + ttl)
-            return Held(lease, ttl)
+            return LeaseGranted(lease, ttl)
 
     def renew(self, lease, ttl):
         """See `hingesill_core.store.Store`."""
@@ -106,7 +106,7 @@
                 self._leases.pop(lease, None)
                 return LeaseLost()
             record.until = self._clock() + ttl
-            return Held(lease, ttl)
+            return LeaseGranted(lease, ttl)
 
     def release(self, lease):
         """See `hingesill_core.store.Store`."""
--- a/packages/hingesill-node/hingesill_node/store/tests/test_conformance.py
+++ b/packages/hingesill-node/hingesill_node/store/tests/test_conformance.py
@@ -5,13 +5,13 @@
 import unittest
 
 from hingesill_core.store import (
-    Conflicting,
-    Held,
+    KeyMissing,
+    LeaseGranted,
     LeaseLost,
-    Missing,
     StoreFailure,
     Unchanged,
     Value,
+    VersionConflict,
     Written,
 )
 from hingesill_node.store.consul import ConsulStore
@@ -28,7 +28,7 @@
         return self.store.get(key).version
 
     def test_missing_key(self):
-        self.assertEqual(self.store.get("team/none"), Missing())
+        self.assertEqual(self.store.get("team/none"), KeyMissing())
 
     def test_bytes_come_back(self):
         data = bytes(range(256)) * 400
@@ -37,19 +37,19 @@
 
     def test_create_only_once(self):
         self.put("team/b", b"1")
-        self.assertIsInstance(self.store.put("team/b", b"2", 0), Conflicting)
+        self.assertIsInstance(self.store.put("team/b", b"2", 0), VersionConflict)
 
     def test_write_of_the_version_read(self):
         version = self.put("team/c", b"1")
         newer = self.put("team/c", b"2", version)
         self.assertNotEqual(version, newer)
-        self.assertIsInstance(self.store.put("team/c", b"3", version), Conflicting)
+        self.assertIsInstance(self.store.put("team/c", b"3", version), VersionConflict)
         self.assertEqual(self.store.get("team/c").data, b"2")
 
     def test_deleted_key(self):
         self.put("team/d", b"1")
         self.assertIsInstance(self.store.delete("team/d"), Written)
-        self.assertIsInstance(self.store.get("team/d"), Missing)
+        self.assertIsInstance(self.store.get("team/d"), KeyMissing)
 
     def test_watch_ends_without_a_change(self):
         version = self.put("team/e", b"1")
@@ -71,18 +71,20 @@
 
     def test_lease_has_one_holder(self):
         held = self.store.acquire("team/lease-a", "ann", 10.0)
-        self.assertIsInstance(held, Held)
+        self.assertIsInstance(held, LeaseGranted)
         other = self.store.acquire("team/lease-a", "ben", 10.0)
         self.assertIsInstance(other, LeaseLost)
-        self.assertIsInstance(self.store.renew(held.lease, 10.0), Held)
+        self.assertIsInstance(self.store.renew(held.lease, 10.0), LeaseGranted)
         self.assertIsInstance(self.store.release(held.lease), Written)
         again = self.store.acquire("team/lease-a", "ben", 10.0)
-        self.assertIsInstance(again, Held)
+        self.assertIsInstance(again, LeaseGranted)
 
     def test_lapsed_lease_is_lost(self):
         held = self.store.acquire("team/lease-b", "ann", 0.1)
         time.sleep(0.2)
-        self.assertIsInstance(self.store.acquire("team/lease-b", "ben", 10.0), Held)
+        self.assertIsInstance(
+            self.store.acquire("team/lease-b", "ben", 10.0), LeaseGranted
+        )
         self.assertIsInstance(self.store.renew(held.lease, 10.0), LeaseLost)
 
 
--- a/tests/test_model_replay.py
+++ b/tests/test_model_replay.py
@@ -11,7 +11,7 @@
 )
 from hingesill_core.configuration.log import ServiceChange
 from hingesill_core.configuration.state import Replica
-from hingesill_core.store import Conflicting, Missing, Value, Written
+from hingesill_core.store import KeyMissing, Value, VersionConflict, Written
 from model.spreading import OPERATIONS, Rules, State, list_steps
 
 WALKS = 300
@@ -25,11 +25,11 @@
         self.values = {}
 
     def get(self, key):
-        return self.values.get(key, Missing())
+        return self.values.get(key, KeyMissing())
 
     def put(self, key, data, expected):
         if self.get(key).version != expected:
-            return Conflicting()
+            return VersionConflict()
         self.values[key] = Value(data, expected + 1)
         return Written()
 
@@ -64,9 +64,9 @@
         elif label.endswith("conflicts"):
             assert isinstance(self.append(label[0]), Rejected)
         elif label == "relay reads":
-            self.log.bring_up(self.relay, self.tails[-1])
+            self.log.catch_up(self.relay, self.tails[-1])
         elif label == "relay reads an older state":
-            self.log.bring_up(self.relay, self.tails[len(before.log) - 1])
+            self.log.catch_up(self.relay, self.tails[len(before.log) - 1])
         elif label == "relay sends":
             self.message = self.relay.build_difference()
         elif label.startswith("message arrives"):
