--- a/packages/hingesill-core/hingesill_core/ratelimits/fleet.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/fleet.py
@@ -3,7 +3,7 @@
 from hingesill_core.crashes.gossip import Gossip
 from hingesill_core.ratelimits.coordinators import rank_coordinators
 from hingesill_core.ratelimits.grants import PAUSE_SECONDS
-from hingesill_core.ratelimits.ledger import Granted
+from hingesill_core.ratelimits.grantscheduler import Granted
 from hingesill_core.ratelimits.messages import (
     GrantReply,
     GrantRequest,
@@ -119,8 +119,8 @@
         if change.before is None:
             self.refresh()
         if change.source != GONE:
-            word = change.word
-            key = (change.service, word.endpoint, word.born)
+            report = change.report
+            key = (change.service, report.endpoint, report.born)
             self.gossip.add(key, max(2, len(self.nodes)))
         self.observe(change)
 
@@ -129,14 +129,14 @@
         now = limits.grant_client.pace.asked_at
         words = limits.book.list_limited()
         chosen = self.rng.sample(words, min(MAX_LIMITS_PER_DATAGRAM, len(words)))
-        records = tuple(build_told(limits, word, now) for word in chosen)
+        records = tuple(build_told(limits, report, now) for report in chosen)
         excluded = tuple(limits.list_avoided(now)[:MAX_LIMITS_PER_DATAGRAM])
         request = GrantRequest(
             ask.number, limits.name, ask.wanted, ask.horizon, records, excluded
         )
         self.send(ask.node, request)
 
-    def tell(self, now):
+    def run_gossip_round(self, now):
         """Pass news on, ask as a node that starts, and forget what is old."""
         for limits in self.services.values():
             limits.book.forget(now)
@@ -172,9 +172,9 @@
         """Yield what is known now of what changed."""
         for service, endpoint, born in keys:
             limits = self.services.get(service)
-            word = limits.book.get(endpoint) if limits is not None else None
-            if word is not None and word.born == born:
-                yield build_told(limits, word, now)
+            report = limits.book.get(endpoint) if limits is not None else None
+            if report is not None and report.born == born:
+                yield build_told(limits, report, now)
 
     def take(self, message, sender, now):
         """Take a message of another node.
@@ -206,9 +206,9 @@
     def _answer(self, node, now):
         """Tell a node that starts which endpoints name limits."""
         known = [
-            build_told(limits, word, now)
+            build_told(limits, report, now)
             for limits in self.services.values()
-            for word in limits.book.list_limited()
+            for report in limits.book.list_limited()
         ]
         records = self.rng.sample(known, min(MOST_ANSWERED, len(known)))
         for begin in range(0, len(records), MAX_LIMITS_PER_DATAGRAM):
@@ -222,13 +222,13 @@
             return
         latest = now - record.age
         earliest = latest - record.span - TRANSIT_SECONDS
-        word = ReportedLimit(
+        report = ReportedLimit(
             record.endpoint, record.born, record.per_second, earliest, latest
         )
         limits = self.get(record.service)
         # A node that received the limit does not query the endpoint itself.
         limits.is_in_health = limits.is_in_health or record.is_in_health
-        if not limits.take(word, "node") and limits.has_same(word):
+        if not limits.take(report, "node") and limits.has_same(report):
             self.gossip.record_duplicate((record.service, record.endpoint, record.born))
 
     def _grant(self, request, sender, now):
@@ -253,9 +253,9 @@
     def _list_better(self, request, limits, now):
         """Yield what this node knows better than one that asks."""
         for record in request.records:
-            word = limits.book.get(record.endpoint)
-            if word is not None and word.per_second != record.per_second:
-                yield build_told(limits, word, now)
+            report = limits.book.get(record.endpoint)
+            if report is not None and report.per_second != record.per_second:
+                yield build_told(limits, report, now)
 
     def _count_pause(self, sender, now):
         """Return how long a node that asks should wait until it asks again."""
@@ -266,14 +266,14 @@
         return max(PAUSE_SECONDS, len(self._asked) / ASKS_A_SECOND)
 
 
-def build_told(limits, word, now):
+def build_told(limits, report, now):
     """Return the LimitRecord of a word that the ServiceLimits hold."""
     return LimitRecord(
         limits.name,
-        word.endpoint,
-        word.born,
-        word.per_second,
-        now - word.latest,
-        word.latest - word.earliest,
+        report.endpoint,
+        report.born,
+        report.per_second,
+        now - report.latest,
+        report.latest - report.earliest,
         limits.is_in_health,
     )
--- a/packages/hingesill-core/hingesill_core/ratelimits/grantclient.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/grantclient.py
@@ -4,11 +4,11 @@
 
 from msgspec import Struct
 
-from hingesill_core.ratelimits.grants import PAUSE_SECONDS, AskPace, HeldGrants
-from hingesill_core.ratelimits.ledger import GrantRun
-from hingesill_core.ratelimits.share import FleetShare
+from hingesill_core.ratelimits.grants import PAUSE_SECONDS, GrantPool, GrantRequestPace
+from hingesill_core.ratelimits.grantscheduler import GrantRun
+from hingesill_core.ratelimits.randomadmission import RandomAdmission
 
-__all__ = ["GrantAsk", "GrantClient"]
+__all__ = ["PendingGrantRequest", "GrantClient"]
 
 # Interval of trial requests that find out whether a limit has ended, in seconds.
 TRIAL_SECONDS = 1.0
@@ -19,7 +19,7 @@
 SHORTEST_WAIT = 0.05
 
 
-class GrantAsk(Struct, frozen=True):
+class PendingGrantRequest(Struct, frozen=True):
     """Ask a coordinator for grants.
 
     Parameters
@@ -52,22 +52,22 @@
 
     Attributes
     ----------
-    held : HeldGrants
+    held : GrantPool
         That were not used yet.
-    pace : AskPace
+    pace : GrantRequestPace
         When this node may ask.
     nodes : int
         That share the limits.
     ask_node : callable
-        Carries out a GrantAsk.
+        Carries out a PendingGrantRequest.
     """
 
     def __init__(self, limits, rng):
         self.limits = limits
         self.rng = rng
-        self.held = HeldGrants()
-        self.pace = AskPace()
-        self.share = FleetShare()
+        self.held = GrantPool()
+        self.pace = GrantRequestPace()
+        self.share = RandomAdmission()
         self.nodes = 1
         self.ask_node = lambda ask: None
         self._asked = None
@@ -81,7 +81,7 @@
         """Count a request that needs a grant."""
         self.pace.record_request(now)
 
-    def record_change(self, word, before):
+    def record_change(self, report, before):
         """Take that an endpoint names another limit.
 
         Parameters
@@ -97,9 +97,9 @@
         by the old one may be granted now.
         """
         self._denied_until = float("-inf")
-        is_higher = before is None or (word.per_second or 0.0) >= before
-        if word.per_second is None or not is_higher:
-            self.held.drop(word.endpoint)
+        is_higher = before is None or (report.per_second or 0.0) >= before
+        if report.per_second is None or not is_higher:
+            self.held.drop(report.endpoint)
 
     def want(self, waiting, patience, now):
         """See to it that grants come for requests that wait for one.
@@ -120,7 +120,7 @@
         if wanted > 0 and now >= self._denied_until and not self.pace.is_open(now):
             self._get_granted(wanted, patience, now)
 
-    def want_trial(self, now):
+    def request_trial_grant(self, now):
         """See to it that limited endpoints get a request now and then.
 
         Notes
@@ -147,7 +147,7 @@
             return
         self._asked = coordinator
         number = self.pace.begin(now)
-        self.ask_node(GrantAsk(coordinator, number, wanted, horizon))
+        self.ask_node(PendingGrantRequest(coordinator, number, wanted, horizon))
 
     def _find_coordinator(self, now):
         """Return whom to ask: this node itself, another one, or None."""
--- a/packages/hingesill-core/hingesill_core/ratelimits/grants.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/grants.py
@@ -5,9 +5,9 @@
 
 from msgspec import Struct
 
-from hingesill_core.ratelimits.ledger import HORIZON_SECONDS
+from hingesill_core.ratelimits.grantscheduler import HORIZON_SECONDS
 
-__all__ = ["AskPace", "Grant", "HeldGrants"]
+__all__ = ["GrantRequestPace", "Grant", "GrantPool"]
 
 # Lifetime of a grant, in seconds: longer than a load query takes.
 GRANT_SECONDS = 0.6
@@ -28,7 +28,7 @@
 # random variation does not make a node busy.
 COUNTED_SECONDS = 2.0
 # Most grants in one request.
-MOST_WANTED = 1024
+MAX_GRANTS_PER_REQUEST = 1024
 
 
 class Grant(Struct, frozen=True):
@@ -39,7 +39,7 @@
     until: float
 
 
-class HeldGrants:
+class GrantPool:
     """Grants that were not used yet, by endpoint, the first one first."""
 
     def __init__(self):
@@ -89,7 +89,7 @@
         self._grants.pop(endpoint, None)
 
 
-class AskPace(Struct):
+class GrantRequestPace(Struct):
     """When a node may ask, and for how many.
 
     Attributes
@@ -145,7 +145,7 @@
         else:
             ahead = floor(rate * GRANT_SECONDS * LIKELY_USED)
         waiting += ahead
-        return min(MOST_WANTED, waiting) - held
+        return min(MAX_GRANTS_PER_REQUEST, waiting) - held
 
     def choose_horizon(self, patience, now):
         """Return the seconds within which grants are of use."""
--- a/packages/hingesill-core/hingesill_core/ratelimits/ledger.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/grantscheduler.py
@@ -5,12 +5,18 @@
 
 from msgspec import Struct, field
 
-__all__ = ["GrantLedger", "GrantRun", "Granted", "HORIZON_SECONDS", "MOST_RUNS"]
+__all__ = [
+    "GrantScheduler",
+    "GrantRun",
+    "Granted",
+    "HORIZON_SECONDS",
+    "MAX_GRANT_RUNS_PER_REPLY",
+]
 
 # Longest time ahead for which requests are granted, in seconds.
 HORIZON_SECONDS = 0.7
 # Most endpoints in a reply, so that it fits into a datagram.
-MOST_RUNS = 24
+MAX_GRANT_RUNS_PER_REPLY = 24
 # Time for which refused requests count as demand, in seconds.
 UNMET_SECONDS = 1.0
 # Requests a second below which an endpoint counts as taking none.
@@ -56,7 +62,7 @@
     wait: float = 0.0
 
 
-class GrantLedger(Struct):
+class GrantScheduler(Struct):
     """Gives out the requests that endpoints take, one after another.
 
     Parameters
@@ -116,7 +122,9 @@
         while usable and counts.total() < wanted:
             endpoint = min(usable, key=self.free_at.__getitem__)
             at = max(now, self.free_at[endpoint])
-            if at > until or (endpoint not in begun and len(begun) >= MOST_RUNS):
+            if at > until or (
+                endpoint not in begun and len(begun) >= MAX_GRANT_RUNS_PER_REPLY
+            ):
                 break
             begun.setdefault(endpoint, at - now)
             counts[endpoint] += 1
--- a/packages/hingesill-core/hingesill_core/ratelimits/messages.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/messages.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from hingesill_core.ratelimits.ledger import GrantRun
+from hingesill_core.ratelimits.grantscheduler import GrantRun
 
 __all__ = ["GrantReply", "GrantRequest", "LimitUpdate", "LimitQuery", "LimitRecord"]
 
@@ -86,7 +86,7 @@
     runs : tuple of GrantRun
         What endpoints take.
     retry_after, wait : float
-        See `hingesill_core.ratelimits.ledger.Granted`.
+        See `hingesill_core.ratelimits.grantscheduler.Granted`.
     pause : float
         Seconds between two requests of a node; more in large fleets.
     told : tuple of LimitRecord
--- a/packages/hingesill-core/hingesill_core/ratelimits/share.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/randomadmission.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-__all__ = ["FleetShare"]
+__all__ = ["RandomAdmission"]
 
 # Burst of all nodes together, in seconds of the rate.
 COUNTED_SECONDS = 0.5
@@ -10,7 +10,7 @@
 USED_SHARE = 0.6
 
 
-class FleetShare(Struct):
+class RandomAdmission(Struct):
     """Takes a part of a rate by chance.
 
     Notes
--- a/packages/hingesill-core/hingesill_core/ratelimits/reportedlimits.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/reportedlimits.py
@@ -80,20 +80,20 @@
         """Return the ReportedLimits of endpoints that name a limit now."""
         return [self._words[endpoint] for endpoint in self.limited]
 
-    def take(self, word):
+    def take(self, report):
         """Take a word; return whether the endpoint's limit is another one now."""
-        held = self._words.get(word.endpoint)
-        if held is None and (word.per_second is None or self.is_full()):
+        held = self._words.get(report.endpoint)
+        if held is None and (report.per_second is None or self.is_full()):
             return False
-        if held is not None and not replaces(word, held):
+        if held is not None and not replaces(report, held):
             return False
-        self._words[word.endpoint] = word
-        if word.per_second is None:
-            self.limited.pop(word.endpoint, None)
+        self._words[report.endpoint] = report
+        if report.per_second is None:
+            self.limited.pop(report.endpoint, None)
         else:
-            self.limited[word.endpoint] = word.per_second
-        before = None if held is None or held.born != word.born else held.per_second
-        return word.per_second != before
+            self.limited[report.endpoint] = report.per_second
+        before = None if held is None or held.born != report.born else held.per_second
+        return report.per_second != before
 
     def is_full(self):
         """Tell whether no word of another endpoint is taken."""
@@ -107,25 +107,25 @@
         lives : dict
             The life by identity of the endpoints that are there.
         """
-        gone = [word for word in self._words.values() if is_over(word, lives)]
-        for word in gone:
-            del self._words[word.endpoint]
-            self.limited.pop(word.endpoint, None)
+        gone = [report for report in self._words.values() if is_over(report, lives)]
+        for report in gone:
+            del self._words[report.endpoint]
+            self.limited.pop(report.endpoint, None)
         return gone
 
     def forget(self, now):
         """Forget words that name no limit and are old, at a time."""
-        for endpoint, word in list(self._words.items()):
-            if word.per_second is None and now - word.latest > REMEMBERED_SECONDS:
+        for endpoint, report in list(self._words.items()):
+            if report.per_second is None and now - report.latest > REMEMBERED_SECONDS:
                 del self._words[endpoint]
 
 
-def is_over(word, lives):
+def is_over(report, lives):
     """Tell whether another life has followed the one that said a word, or none."""
-    return lives.get(word.endpoint) != word.born
+    return lives.get(report.endpoint) != report.born
 
 
-def replaces(word, held):
+def replaces(report, held):
     """Tell whether a word counts in place of the one that is held.
 
     Notes
@@ -134,8 +134,8 @@
     arrival. Of two words whose order isn't certain the stricter one counts: an answer
     that was under way when the need began must not end it.
     """
-    if word.born != held.born:
-        return word.born > held.born
-    if word.earliest >= held.latest:
+    if report.born != held.born:
+        return report.born > held.born
+    if report.earliest >= held.latest:
         return True
-    return word.latest > held.earliest and word.is_stricter(held)
+    return report.latest > held.earliest and report.is_stricter(held)
--- a/packages/hingesill-core/hingesill_core/ratelimits/service.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/service.py
@@ -4,7 +4,7 @@
 from msgspec.structs import replace
 
 from hingesill_core.ratelimits.grantclient import GrantClient
-from hingesill_core.ratelimits.ledger import GrantLedger
+from hingesill_core.ratelimits.grantscheduler import GrantScheduler
 from hingesill_core.ratelimits.reportedlimits import LimitBook, ReportedLimit
 
 __all__ = ["GONE", "LimitChange", "ServiceLimits"]
@@ -37,7 +37,7 @@
     """
 
     service: str
-    word: ReportedLimit
+    report: ReportedLimit
     before: float | None
     source: str
 
@@ -80,7 +80,7 @@
         self.observe = observe
         self.book = LimitBook()
         self.limited = self.book.limited
-        self.ledger = GrantLedger(rng)
+        self.ledger = GrantScheduler(rng)
         self.grant_client = GrantClient(self, rng)
         self.coordinators = []
         self.own = None
@@ -114,29 +114,29 @@
             self.is_in_health = True
         if is_health and not self.is_in_health:
             return
-        word = ReportedLimit(endpoint, born, per_second, sent_at, now)
-        self.take(word, "health" if is_health else "answer")
+        report = ReportedLimit(endpoint, born, per_second, sent_at, now)
+        self.take(report, "health" if is_health else "answer")
 
-    def take(self, word, source):
+    def take(self, report, source):
         """Take a word; return whether the endpoint's limit changed by it."""
         lives = self.lives or {}
-        if lives.get(word.endpoint, word.born) != word.born:
+        if lives.get(report.endpoint, report.born) != report.born:
             return False
-        held = self.book.get(word.endpoint)
-        if not self.book.take(word):
+        held = self.book.get(report.endpoint)
+        if not self.book.take(report):
             return False
         before = None if held is None else held.per_second
-        self.grant_client.record_change(word, before)
-        self.observe(LimitChange(self.name, word, before, source))
+        self.grant_client.record_change(report, before)
+        self.observe(LimitChange(self.name, report, before, source))
         return True
 
-    def has_same(self, word):
+    def has_same(self, report):
         """Tell whether a word says nothing else than what is known."""
-        held = self.book.get(word.endpoint)
+        held = self.book.get(report.endpoint)
         return (
             held is not None
-            and held.born == word.born
-            and held.per_second == word.per_second
+            and held.born == report.born
+            and held.per_second == report.per_second
         )
 
     def keep(self, lives):
@@ -148,22 +148,22 @@
             The life by identity of the endpoints that are there.
         """
         self.lives = lives
-        for word in self.book.keep(lives):
-            self.grant_client.held.drop(word.endpoint)
-            if word.per_second is not None:
-                ended = replace(word, per_second=None)
-                self.observe(LimitChange(self.name, ended, word.per_second, GONE))
+        for report in self.book.keep(lives):
+            self.grant_client.held.drop(report.endpoint)
+            if report.per_second is not None:
+                ended = replace(report, per_second=None)
+                self.observe(LimitChange(self.name, ended, report.per_second, GONE))
 
     def is_first(self):
         """Tell whether this node grants before all others."""
         return self.own is not None and self.coordinators[:1] == [self.own]
 
-    def list_unheard(self, now):
+    def list_stale(self, now):
         """Return endpoints that named a limit and were not heard of lately."""
         return [
-            word.endpoint
-            for word in self.book.list_limited()
-            if now - word.latest > UNHEARD_SECONDS
+            report.endpoint
+            for report in self.book.list_limited()
+            if now - report.latest > UNHEARD_SECONDS
         ]
 
     def allows(self, endpoint, now):
--- a/packages/hingesill-core/hingesill_core/ratelimits/tests/limitplay.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/tests/limitsimulation.py
@@ -10,7 +10,7 @@
 from hingesill_core.ratelimits.fleet import FleetLimits
 from hingesill_core.ratelimits.reportedlimits import ParsedLimit
 
-__all__ = ["LimitPlay", "Scenario"]
+__all__ = ["LimitSimulation", "Scenario"]
 
 SERVICE = "arena"
 WINDOW_SECONDS = 4.0
@@ -107,14 +107,16 @@
         if self.is_alive:
             self.look()
 
-    def tell(self):
+    def run_gossip_round(self):
         """Pass news on, again and again."""
         if self.is_alive:
-            self.fleet.tell(self.play.now)
-            self.play.after(NEWS_SECONDS * self.play.rng.uniform(0.8, 1.2), self.tell)
+            self.fleet.run_gossip_round(self.play.now)
+            self.play.after(
+                NEWS_SECONDS * self.play.rng.uniform(0.8, 1.2), self.run_gossip_round
+            )
 
 
-class LimitPlay:
+class LimitSimulation:
     """A scenario, played.
 
     Parameters
@@ -155,7 +157,7 @@
             self.nodes[address].is_alive = False
         node = self.nodes[address] = PlayedLimits(self, address)
         node.fleet.send = lambda to, message: self._send(node, to, message)
-        self.after(NEWS_SECONDS * self.rng.random(), node.tell)
+        self.after(NEWS_SECONDS * self.rng.random(), node.run_gossip_round)
         return node
 
     def list_nodes(self, addresses, among=None):
--- a/packages/hingesill-core/hingesill_core/ratelimits/tests/test_limitplay.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/tests/test_limitsimulation.py
@@ -8,9 +8,9 @@
 
 import unittest
 
-from hingesill_core.ratelimits.tests.limitplay import (
+from hingesill_core.ratelimits.tests.limitsimulation import (
     WINDOW_SECONDS,
-    LimitPlay,
+    LimitSimulation,
     Scenario,
 )
 
@@ -32,8 +32,10 @@
 
 
 def play(nodes, limit, seed=1, **figures):
-    """Return a LimitPlay of a scenario in which all nodes know of the limits."""
-    played = LimitPlay(Scenario(nodes, limit, compute_rate(limit), **figures), seed)
+    """Return a LimitSimulation of a scenario in which all nodes know of the limits."""
+    played = LimitSimulation(
+        Scenario(nodes, limit, compute_rate(limit), **figures), seed
+    )
     played.name(limit)
     played.run()
     return played
@@ -71,7 +73,7 @@
         for nodes, limit, rate in ((18, 3.0, 90.0), (18, 3.0, 40.0), (96, 30.0, 390.0)):
             for seed in SEEDS[:4]:
                 with self.subTest(nodes=nodes, rate=rate, seed=seed):
-                    played = LimitPlay(Scenario(nodes, limit, rate), seed)
+                    played = LimitSimulation(Scenario(nodes, limit, rate), seed)
                     played.name(limit)
                     played.run()
                     self.assert_kept(played, limit)
@@ -85,7 +87,7 @@
     def test_one_request_a_minute_at_each_node_and_then_a_burst(self):
         for nodes in (300, 1100):
             scenario = Scenario(nodes, 0.5, nodes / 60, rest=(10.0, 16.0))
-            played = LimitPlay(scenario)
+            played = LimitSimulation(scenario)
             played.name(0.5)
             played.run()
             self.assert_kept(played, 0.5)
@@ -128,7 +130,7 @@
                 self.check_end_of_the_coordinator(seed)
 
     def check_end_of_the_coordinator(self, seed):
-        played = LimitPlay(Scenario(18, 3.0, 90.0, seconds=8.0), seed)
+        played = LimitSimulation(Scenario(18, 3.0, 90.0, seconds=8.0), seed)
         played.name(3.0)
         played.run()
         first = next(iter(played.nodes.values())).limits.coordinators[0]
@@ -146,7 +148,7 @@
 
     def test_nodes_believe_in_different_fleets(self):
         """Two parts of the fleet have each a coordinator of their own."""
-        played = LimitPlay(Scenario(18, 3.0, 90.0, seconds=3.0))
+        played = LimitSimulation(Scenario(18, 3.0, 90.0, seconds=3.0))
         played.name(3.0)
         played.run()
         addresses = list(played.nodes)
@@ -178,7 +180,7 @@
         for nodes in (1, 6, 18):
             with self.subTest(nodes=nodes):
                 scenario = Scenario(nodes, 30.0, 400.0, endpoints=2, seconds=6.0)
-                played = LimitPlay(scenario)
+                played = LimitSimulation(scenario)
                 played.name(30.0)
                 played.run()
                 fell = played.now
@@ -187,7 +189,7 @@
                 self.assert_kept(played, 1.0, fell)
 
     def test_a_limit_that_rises_is_used_at_once(self):
-        played = LimitPlay(Scenario(6, 3.0, 90.0, endpoints=2, seconds=6.0))
+        played = LimitSimulation(Scenario(6, 3.0, 90.0, endpoints=2, seconds=6.0))
         played.name(0.1)
         played.run()
         rose = played.now
@@ -200,7 +202,7 @@
     """Nodes see endpoints differently; the coordinator serves all of them."""
 
     def setUp(self):
-        self.played = LimitPlay(Scenario(6, 3.0, 90.0, endpoints=2))
+        self.played = LimitSimulation(Scenario(6, 3.0, 90.0, endpoints=2))
         self.played.name(3.0)
         first = next(iter(self.played.nodes.values())).limits.coordinators[0]
         self.coordinator = self.played.nodes[first].limits
@@ -228,7 +230,7 @@
 
     def spread(self, nodes, loss=0.0):
         scenario = Scenario(nodes, 3.0, 90.0, endpoints=2, loss=loss)
-        played = LimitPlay(scenario)
+        played = LimitSimulation(scenario)
         first = next(iter(played.nodes))
         played.pass_time(1.0)
         played.name(3.0, [first])
--- a/packages/hingesill-core/hingesill_core/ratelimits/tests/test_reportedlimits.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/tests/test_reportedlimits.py
@@ -14,8 +14,8 @@
         self.book = LimitBook()
 
     def take(self, *words):
-        for word in words:
-            self.book.take(word)
+        for report in words:
+            self.book.take(report)
         return self.book.limited.get("i1")
 
     def test_a_later_word_counts(self):
--- a/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
+++ b/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
@@ -5,8 +5,8 @@
 
 from msgspec import Struct, field
 
+from hingesill_core.ratelimits.randomadmission import RandomAdmission
 from hingesill_core.ratelimits.service import ServiceLimits
-from hingesill_core.ratelimits.share import FleetShare
 from hingesill_core.routing.availability import Availability
 from hingesill_core.routing.health import Health
 from hingesill_core.routing.messages import SendStatus
@@ -122,7 +122,7 @@
         When this node last sent there.
     limits : ServiceLimits or None
         Of the service: what its endpoints in need still take.
-    cold_share : FleetShare
+    cold_share : RandomAdmission
         This node's part of what it bears while it is cold.
     """
 
@@ -154,7 +154,7 @@
     reach: Health = field(default_factory=build_reach)
     born: int = 0
     limits: ServiceLimits | None = None
-    cold_share: FleetShare = field(default_factory=FleetShare)
+    cold_share: RandomAdmission = field(default_factory=RandomAdmission)
 
     @property
     def in_flight(self):
--- a/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
@@ -32,7 +32,7 @@
         It may if grants are there or may come. Where a less urgent one is to go in its
         place, that is refused with the next round.
         """
-        self._grant_client.want_trial(now)
+        self._grant_client.request_trial_grant(now)
         if not self._requests.needs_grant(ticket.route, now):
             return True
         self._grant_client.record_request(now)
--- a/packages/hingesill-core/hingesill_core/routing/tests/loadplay.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/loadplay.py
@@ -115,7 +115,7 @@
 
     def _tell_limits(self, node):
         if node.is_alive and self.now <= self.load.seconds:
-            node.fleet_limits.tell(self.now)
+            node.fleet_limits.run_gossip_round(self.now)
             self.after(NEWS_SECONDS, self._tell_limits, node)
 
     def _report(self, node, relay):
--- a/packages/hingesill-node/hingesill_node/ratelimits/datagrams.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/datagrams.py
@@ -6,8 +6,8 @@
 from msgspec.msgpack import Decoder, encode
 
 from hingesill_core.ratelimits.fleet import MAX_LIMITS_PER_DATAGRAM
-from hingesill_core.ratelimits.grants import MOST_WANTED
-from hingesill_core.ratelimits.ledger import MOST_RUNS
+from hingesill_core.ratelimits.grants import MAX_GRANTS_PER_REQUEST
+from hingesill_core.ratelimits.grantscheduler import MAX_GRANT_RUNS_PER_REPLY
 from hingesill_core.ratelimits.messages import (
     GrantReply,
     GrantRequest,
@@ -73,21 +73,21 @@
         raise ValueError(f"{len(request.excluded)} endpoints are avoided")
     for endpoint in request.excluded:
         check_name(endpoint)
-    if not 0 < request.wanted <= MOST_WANTED:
+    if not 0 < request.wanted <= MAX_GRANTS_PER_REQUEST:
         raise ValueError(f"{request.wanted} grants are wanted")
 
 
 def check_reply(reply):
     """Raise ValueError for grants that no node of this project gives."""
-    if len(reply.runs) > MOST_RUNS:
+    if len(reply.runs) > MAX_GRANT_RUNS_PER_REPLY:
         raise ValueError(f"grants at {len(reply.runs)} endpoints in one datagram")
-    if sum(run.count for run in reply.runs) > MOST_WANTED:
+    if sum(run.count for run in reply.runs) > MAX_GRANTS_PER_REQUEST:
         raise ValueError("more grants than any node wants")
     for run in reply.runs:
         check_name(run.endpoint)
         check_seconds(run.delay)
         check_seconds(run.count * run.interval)
-        if not 0 < run.count <= MOST_WANTED:
+        if not 0 < run.count <= MAX_GRANTS_PER_REQUEST:
             raise ValueError(f"{run.count} grants at one endpoint")
     check_seconds(reply.retry_after)
     check_seconds(reply.wait)
--- a/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
@@ -97,7 +97,7 @@
             if self.limits.is_starting or self.limits.count_limited():
                 self._note_nodes()
             now = self.runners.clock()
-            self.limits.tell(now)
+            self.limits.run_gossip_round(now)
             self._ask_endpoints(now)
 
     def _ask_endpoints(self, now):
@@ -110,23 +110,23 @@
         """
         for limits in list(self.limits.services.values()):
             if limits.limited and limits.is_in_health and limits.is_first():
-                self.runners.query_load(limits.name, limits.list_unheard(now))
+                self.runners.query_load(limits.name, limits.list_stale(now))
 
 
 def log_limit(change):
     """Write a line for an endpoint's limit that begins, changes or ends."""
-    word = change.word
+    report = change.report
     event = Event.LIMIT_CHANGED
-    if word.per_second is None:
+    if report.per_second is None:
         event = Event.LIMIT_ENDED
     elif change.before is None:
         event = Event.LIMIT_BEGUN
     log_event(
         event,
         service=change.service,
-        endpoint=word.endpoint,
-        born=word.born,
-        per_second=word.per_second,
+        endpoint=report.endpoint,
+        born=report.born,
+        per_second=report.per_second,
         before=change.before,
         source=change.source,
     )
--- a/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
@@ -8,8 +8,8 @@
 
 from hingesill_api.generated import hingesill_pb2 as pb
 from hingesill_core.ratelimits.fleet import FleetLimits
-from hingesill_core.ratelimits.grants import MOST_WANTED
-from hingesill_core.ratelimits.ledger import MOST_RUNS, GrantRun
+from hingesill_core.ratelimits.grants import MAX_GRANTS_PER_REQUEST
+from hingesill_core.ratelimits.grantscheduler import MAX_GRANT_RUNS_PER_REPLY, GrantRun
 from hingesill_core.ratelimits.messages import (
     GrantReply,
     GrantRequest,
@@ -46,7 +46,7 @@
         self.assertEqual(len(marks), 3)
 
     def test_the_largest_fit_into_a_datagram(self):
-        reply = GrantReply(9, "arena", (RUN,) * MOST_RUNS, 0.1, 0.2, 0.6)
+        reply = GrantReply(9, "arena", (RUN,) * MAX_GRANT_RUNS_PER_REPLY, 0.1, 0.2, 0.6)
         self.assertLess(len(encode_message(reply)), LARGEST_BYTES)
         self.assertLess(len(encode_message(LimitUpdate((TOLD,) * 16))), LARGEST_BYTES)
         excluded = (TOLD.endpoint,) * 16
@@ -62,10 +62,12 @@
             LimitUpdate((LimitRecord("arena", "i1", 1, 1.0, -0.1, 0.2),)),
             LimitUpdate((TOLD,) * 17),
             GrantRequest(1, "arena", 0),
-            GrantRequest(1, "arena", MOST_WANTED + 1),
+            GrantRequest(1, "arena", MAX_GRANTS_PER_REQUEST + 1),
             GrantRequest(1, "", 1),
             GrantRequest(1, "arena", 1, excluded=("i1",) * 17),
-            GrantReply(1, "arena", (RUN,) * (MOST_RUNS + 1), 0.0, 0.0, 0.0),
+            GrantReply(
+                1, "arena", (RUN,) * (MAX_GRANT_RUNS_PER_REPLY + 1), 0.0, 0.0, 0.0
+            ),
             GrantReply(1, "arena", (GrantRun("i1", 0.0, 0.0, -1),), 0.0, 0.0, 0.0),
             GrantReply(1, "arena", (GrantRun("i1", 0.0, 0.0, 900),) * 2, 0.0, 0.0, 0.0),
             GrantReply(1, "arena", (), float("nan"), 0.0, 0.0),
