--- a/packages/hingesill-core/hingesill_core/routing/tests/loadplay.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/loadsimulation.py
@@ -11,15 +11,15 @@
 
 from hingesill_core.configuration.services import Endpoint, ProbeBudget, Service
 from hingesill_core.reasons import Outcome
-from hingesill_core.routing.tests.loads import Request
-from hingesill_core.routing.tests.playedendpoint import (
+from hingesill_core.routing.tests.simulatedendpoint import (
     DATA_CENTRES,
     SLOTS,
-    PlayedEndpoint,
+    SimulatedEndpoint,
 )
-from hingesill_core.routing.tests.playednode import PlayedNode
+from hingesill_core.routing.tests.simulatednode import SimulatedNode
+from hingesill_core.routing.tests.workloads import Request
 
-__all__ = ["Play"]
+__all__ = ["Simulation"]
 
 NEAR_SECONDS = 0.0002
 FAR_SECONDS = 0.0014
@@ -35,7 +35,7 @@
 NEWS_SECONDS = 0.5
 
 
-class Play:
+class Simulation:
     """A load, played.
 
     Parameters
@@ -53,7 +53,7 @@
         self.kinds = {kind.route: kind for kind in load.kinds}
         self.endpoints = {}
         for number in range(load.endpoints):
-            endpoint = PlayedEndpoint(self, number)
+            endpoint = SimulatedEndpoint(self, number)
             self.endpoints[endpoint.identity] = endpoint
         self.service = self._build_service()
         self.requests = []
@@ -87,7 +87,7 @@
         )
 
     def _start_nodes(self):
-        self.nodes = [PlayedNode(self, number) for number in range(self.load.nodes)]
+        self.nodes = [SimulatedNode(self, number) for number in range(self.load.nodes)]
         if self.names_limits:
             self._connect_limits()
         if self.profile is not None:
--- a/packages/hingesill-core/hingesill_core/routing/tests/playedendpoint.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/simulatedendpoint.py
@@ -3,9 +3,9 @@
 from hingesill_core.ratelimits.reportedlimits import NO_LIMIT, ParsedLimit
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.messages import SendResult, SendStatus
-from hingesill_core.routing.tests.loads import Spell
+from hingesill_core.routing.tests.workloads import FaultPeriod
 
-__all__ = ["DATA_CENTRES", "SLOTS", "PlayedEndpoint"]
+__all__ = ["DATA_CENTRES", "SLOTS", "SimulatedEndpoint"]
 
 DATA_CENTRES = 6
 SLOTS = 3
@@ -16,7 +16,7 @@
 KNEE_FACTOR = 1.7
 
 
-class PlayedEndpoint:
+class SimulatedEndpoint:
     """An endpoint with slots and a queue."""
 
     def __init__(self, play, number):
@@ -84,7 +84,7 @@
         if send not in self.running:
             return
         self._free(send)
-        spell = self.find_spell() or Spell(0.0, 0.0)
+        spell = self.find_spell() or FaultPeriod(0.0, 0.0)
         luck = self.play.rng.random()
         if luck < spell.broken:
             self._tell(node, send, SendStatus.LOST)
--- a/packages/hingesill-core/hingesill_core/routing/tests/playednode.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/simulatednode.py
@@ -17,10 +17,10 @@
     SendStatus,
     Ticket,
 )
-from hingesill_core.routing.tests.loads import Request
-from hingesill_core.routing.tests.playedendpoint import DATA_CENTRES
+from hingesill_core.routing.tests.simulatedendpoint import DATA_CENTRES
+from hingesill_core.routing.tests.workloads import Request
 
-__all__ = ["PlayedNode"]
+__all__ = ["SimulatedNode"]
 
 PROBE_SECONDS = 0.001
 ROUND_SECONDS = 0.015
@@ -36,7 +36,7 @@
     is_open: bool = True
 
 
-class PlayedNode:
+class SimulatedNode:
     """A node: its dispatcher, and what its green threads would do."""
 
     def __init__(self, play, number):
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_heavyload.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_heavyload.py
@@ -5,8 +5,8 @@
 from msgspec.structs import replace
 
 from hingesill_core.configuration.services import Route, SendBudget
-from hingesill_core.routing.tests.loadplay import Play
-from hingesill_core.routing.tests.loads import Kind, Load, Spell
+from hingesill_core.routing.tests.loadsimulation import Simulation
+from hingesill_core.routing.tests.workloads import FaultPeriod, Kind, Workload
 
 SEED = 1
 SLACK = 430.0
@@ -40,7 +40,7 @@
 )
 KINDS = (READ, MOVE, RATING, EXPORT)
 # 120 endpoints with three slots; 350 requests a second take half of these.
-CALM = Load(312, 120, KINDS, 350.0, 10.0, sends=SENDS)
+CALM = Workload(312, 120, KINDS, 350.0, 10.0, sends=SENDS)
 
 
 class HeavyLoadCase(unittest.TestCase):
@@ -48,7 +48,7 @@
 
     def play(self, load, begin=0.0, end=float("inf")):
         """Play; keep the requests that were sent from begin to end."""
-        self.played = Play(load, SEED)
+        self.played = Simulation(load, SEED)
         requests = self.played.run()
         self.requests = [r for r in requests if begin <= r.sent_at < end]
         return self.played
@@ -88,7 +88,7 @@
 
     def play_losses(self, nodes, slack):
         sends = SendBudget(0.0, 0.75 * RETRY_SHARE, 0.8 * slack)
-        broken = Spell(130.0, 150.0, broken=1.0)
+        broken = FaultPeriod(130.0, 150.0, broken=1.0)
         load = replace(CALM, nodes=nodes, rate=60.0, seconds=145.0, spells=(broken,))
         self.play(replace(load, sends=sends), 130.0)
 
@@ -115,8 +115,8 @@
     # somebody waits at each all the time, and those who have no endpoint go first.
     SIZES = ((3, 45.0, 0.85), (17, 62.0, 0.95), (99, 164.0, 0.93), (312, 430.0, 0.92))
     SPELLS = (
-        Spell(3.0, 12.0, 0.0, 0.6, lost=0.3),
-        Spell(3.0, 12.0, 0.6, 1.0, slowness=12.0),
+        FaultPeriod(3.0, 12.0, 0.0, 0.6, lost=0.3),
+        FaultPeriod(3.0, 12.0, 0.6, 1.0, slowness=12.0),
     )
 
     def test_repeatable_requests_do_not_sit_on_silent_endpoints(self):
@@ -211,7 +211,7 @@
     without it and 0.191 to 0.206 with it: that is what the bound costs.
     """
 
-    COLD = Spell(3.0, 6.0, 0.0, 0.25, slowness=2.0, cold=True)
+    COLD = FaultPeriod(3.0, 6.0, 0.0, 0.25, slowness=2.0, cold=True)
     ALLOWED = 2.5 * 1.5 + 8.0
 
     def play_return(self, factor, cold):
@@ -253,7 +253,7 @@
     0.972 and 0.937 to 0.982.
     """
 
-    DOWN = Spell(3.0, 4.0, 0.0, 0.1, down=True, ill=True)
+    DOWN = FaultPeriod(3.0, 4.0, 0.0, 0.1, down=True, ill=True)
 
     def play_spell(self, spell, factor=1.0):
         burst = (3.0, 4.0, factor)
@@ -267,7 +267,7 @@
                 self.assertGreater(self.share_in_time(), least)
 
     def test_most_say_so_though_they_are_well(self):
-        self.play_spell(Spell(3.0, 4.0, 0.0, 0.8, ill=True))
+        self.play_spell(FaultPeriod(3.0, 4.0, 0.0, 0.8, ill=True))
         self.assertGreater(self.share_in_time(), 0.9)
 
 
@@ -279,14 +279,14 @@
     """
 
     def test_half_of_the_endpoints_shed(self):
-        spell = Spell(3.0, 9.0, 0.0, 0.5, shed=0.55)
+        spell = FaultPeriod(3.0, 9.0, 0.0, 0.5, shed=0.55)
         self.play(replace(CALM, seconds=12.0, spells=(spell,)), 3.0, 9.0)
         self.assertGreater(self.share_in_time(), 0.95)
         self.assert_within_budget()
         self.assert_nobody_starved(0.1)
 
     def test_all_endpoints_shed(self):
-        spell = Spell(3.0, 7.0, shed=0.55)
+        spell = FaultPeriod(3.0, 7.0, shed=0.55)
         load = replace(CALM, nodes=95, seconds=7.5, spells=(spell,))
         self.play(replace(load, sends=SendBudget(0.0, 0.15, 126.0)), 3.0, 7.0)
         self.assertGreater(self.share_in_time(), 0.7)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_limitedload.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_limitedload.py
@@ -5,14 +5,14 @@
 
 from msgspec.structs import replace
 
-from hingesill_core.routing.tests.loadplay import Play
-from hingesill_core.routing.tests.loads import Spell
+from hingesill_core.routing.tests.loadsimulation import Simulation
 from hingesill_core.routing.tests.test_heavyload import CALM
+from hingesill_core.routing.tests.workloads import FaultPeriod
 
 SEEDS = (1, 2, 3)
 LIMIT = 1.0
 # A fifth of the endpoints.
-NEEDY = Spell(0.0, 60.0, last=0.2, limit=LIMIT)
+NEEDY = FaultPeriod(0.0, 60.0, last=0.2, limit=LIMIT)
 NEEDY_ENDPOINTS = 24
 # From then on all nodes know of the limits.
 KNOWN_SECONDS = 3.0
@@ -21,7 +21,7 @@
 
 def measure(load, seed):
     """Play; return the play and the share of requests that were in time."""
-    played = Play(load, seed)
+    played = Simulation(load, seed)
     requests = [r for r in played.run() if r.sent_at >= KNOWN_SECONDS]
     return played, sum(r.is_in_time() for r in requests) / len(requests)
 
--- a/packages/hingesill-core/hingesill_core/routing/tests/loads.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/workloads.py
@@ -4,7 +4,7 @@
 
 from hingesill_core.configuration.services import Route, SendBudget
 
-__all__ = ["Kind", "Load", "Request", "Spell"]
+__all__ = ["Kind", "Workload", "Request", "FaultPeriod"]
 
 
 class Kind(Struct, frozen=True):
@@ -28,7 +28,7 @@
     limit: float
 
 
-class Spell(Struct, frozen=True):
+class FaultPeriod(Struct, frozen=True):
     """What is wrong with some endpoints for a while.
 
     Parameters
@@ -69,7 +69,7 @@
     limit: float | None = None
 
 
-class Load(Struct, frozen=True):
+class Workload(Struct, frozen=True):
     """A load.
 
     Parameters
