--- a/packages/hingesill-core/hingesill_core/crashes/guard.py
+++ b/packages/hingesill-core/hingesill_core/crashes/guard.py
@@ -2,29 +2,29 @@
 
 from msgspec import Struct
 
-from hingesill_core.crashes.gossip import Gossip
-from hingesill_core.crashes.history import Ending, EndingHistory
-from hingesill_core.crashes.messages import Told, ToldKind
-from hingesill_core.crashes.quarantine import Quarantine, QuarantinedRequest
-from hingesill_core.crashes.verdicts import (
-    ENOUGH_ENDINGS,
+from hingesill_core.crashes.attribution import (
+    MIN_CRASHES,
     find_basis,
     is_certain,
 )
+from hingesill_core.crashes.gossip import Gossip
+from hingesill_core.crashes.history import CrashHistory, EndpointCrash
+from hingesill_core.crashes.messages import GossipItem, GossipKind
+from hingesill_core.crashes.quarantine import Quarantine, QuarantinedRequest
 
-__all__ = ["CrashGuard", "FROM_STORE", "HoldBegun", "HoldEnded"]
+__all__ = ["CrashGuard", "SOURCE_STORE", "QuarantineStarted", "QuarantineEnded"]
 
 # How often what is too old is looked for.
 FORGET_SECONDS = 10.0
 # Who told of a hold.
-FROM_STORE = "store"
-FROM_NODE = "node"
-FROM_ENDINGS = "endings"
+SOURCE_STORE = "store"
+SOURCE_NODE = "node"
+SOURCE_CRASHES = "endings"
 # In gossip a hold goes before any number of endings.
 HELD_RANK = 100
 
 
-class HoldBegun(Struct, frozen=True):
+class QuarantineStarted(Struct, frozen=True):
     """A request is held back from now on."""
 
     fingerprint: str
@@ -33,7 +33,7 @@
     source: str
 
 
-class HoldEnded(Struct, frozen=True):
+class QuarantineEnded(Struct, frozen=True):
     """A request that was held back may be sent again."""
 
     fingerprint: str
@@ -54,7 +54,7 @@
     rng : random.Random
         For gossip.
     observe : callable
-        Called with each HoldBegun and HoldEnded.
+        Called with each QuarantineStarted and QuarantineEnded.
 
     Notes
     -----
@@ -63,7 +63,7 @@
 
     def __init__(self, rng, observe=lambda change: None):
         self.observe = observe
-        self.history = EndingHistory()
+        self.history = CrashHistory()
         self.quarantine = Quarantine()
         self.gossip = Gossip(rng)
         self.nodes = 1
@@ -74,7 +74,7 @@
         """Whether nothing at all is known against any request."""
         return not self.history and not self.quarantine
 
-    def find_hold(self, fingerprints, now):
+    def find_quarantine(self, fingerprints, now):
         """Return the QuarantinedRequest of a request that must not be sent, or None.
 
         Parameters
@@ -92,7 +92,7 @@
 
     def is_suspect(self, fingerprints):
         """Tell whether an endpoint ended under a request and none answered it since."""
-        return any(self.history.get_endings(name) for name in fingerprints)
+        return any(self.history.get_crashes(name) for name in fingerprints)
 
     def is_cleared(self, fingerprint):
         """Tell whether a request that others may hold back was answered meanwhile."""
@@ -111,20 +111,20 @@
         pending : int
             Endpoints that may have ended under it, which is being looked at.
         """
-        if self.find_hold(fingerprints, now) is not None:
+        if self.find_quarantine(fingerprints, now) is not None:
             return False
         if pending and any(
-            self.quarantine.is_on_trial(name, now) for name in fingerprints
+            self.quarantine.is_on_probation(name, now) for name in fingerprints
         ):
             return False
-        known = max(len(self.history.get_endings(name)) for name in fingerprints)
-        return known + pending < ENOUGH_ENDINGS
+        known = max(len(self.history.get_crashes(name)) for name in fingerprints)
+        return known + pending < MIN_CRASHES
 
-    def note_ending(self, fingerprints, endpoint, now):
+    def record_crash(self, fingerprints, endpoint, now):
         """Take that an endpoint ended while it had a request of this node."""
-        self._take_ending(fingerprints, Ending(endpoint, now), now)
+        self._take_ending(fingerprints, EndpointCrash(endpoint, now), now)
 
-    def note_answer(self, fingerprints, now):
+    def record_answer(self, fingerprints, now):
         """Take that an endpoint answered a request of this node."""
         known = tuple(
             name
@@ -134,17 +134,17 @@
         if known:
             self._take_answer(known, now)
 
-    def hear(self, told, now):
+    def apply_item(self, told, now):
         """Take what another node told."""
         at = now - told.age
-        if told.kind is ToldKind.ENDED:
-            self._take_ending(told.fingerprints, Ending(told.endpoint, at), now)
-        elif told.kind is ToldKind.ANSWERED:
+        if told.kind is GossipKind.ENDED:
+            self._take_ending(told.fingerprints, EndpointCrash(told.endpoint, at), now)
+        elif told.kind is GossipKind.ANSWERED:
             self._take_answer(told.fingerprints, at)
         else:
             request = QuarantinedRequest(at, now + told.left, told.times)
             for fingerprint in told.fingerprints:
-                self.adopt(fingerprint, request, FROM_NODE)
+                self.adopt(fingerprint, request, SOURCE_NODE)
 
     def adopt(self, fingerprint, request, source):
         """Hold a request back for long, as another node does.
@@ -166,43 +166,45 @@
         self.quarantine.adopt(fingerprint, request)
         self._begin_hold(fingerprint, request, source)
 
-    def list_told(self, now):
+    def list_items(self, now):
         """Return all that is known, for a node that has just started."""
         held = self.quarantine.list_long(now)
         told = [build_held(name, request, now) for name, request in held.items()]
         told += [
-            Told(ToldKind.ENDED, (name,), now - ending.at, ending.endpoint)
-            for name, ending in self.history.list_endings()
+            GossipItem(GossipKind.ENDED, (name,), now - ending.at, ending.endpoint)
+            for name, ending in self.history.list_crashes()
             if name not in held
         ]
         return told
 
-    def take_round(self, peers, now):
+    def start_round(self, peers, now):
         """Return whom to tell now, and the Told for them.
 
         Notes
         -----
         News wait as keys; their ages are those of the moment at which they are sent.
         """
-        chosen, keys = self.gossip.take_round(peers)
+        chosen, keys = self.gossip.start_round(peers)
         told = (self._build_told(key, now) for key in keys)
         return chosen, [piece for piece in told if piece is not None]
 
     def _build_told(self, key, now):
         kind, fingerprints, endpoint, at = key
-        if kind is ToldKind.HELD:
-            held = self.find_hold(fingerprints, now)
+        if kind is GossipKind.HELD:
+            held = self.find_quarantine(fingerprints, now)
             if held is None or not held.times:
                 return None
             return build_held(fingerprints[0], held, now)
-        return Told(kind, fingerprints, now - at, endpoint)
+        return GossipItem(kind, fingerprints, now - at, endpoint)
 
     def _take_ending(self, fingerprints, ending, now):
-        news = [name for name in fingerprints if self.history.note_ending(name, ending)]
+        news = [
+            name for name in fingerprints if self.history.record_crash(name, ending)
+        ]
         if not news:
             return
-        counts = [len(self.history.get_endings(name)) for name in fingerprints]
-        key = (ToldKind.ENDED, fingerprints, ending.endpoint, ending.at)
+        counts = [len(self.history.get_crashes(name)) for name in fingerprints]
+        key = (GossipKind.ENDED, fingerprints, ending.endpoint, ending.at)
         self.gossip.add(key, self.nodes, rank=max(counts))
         narrower = 0
         for fingerprint, count in zip(fingerprints, counts):
@@ -213,9 +215,9 @@
 
     def _judge(self, fingerprint, now):
         """Hold a request back if enough is known against it."""
-        endings = self.history.get_endings(fingerprint)
-        is_on_trial = self.quarantine.is_on_trial(fingerprint, now)
-        if is_on_trial or len(endings) >= ENOUGH_ENDINGS:
+        endings = self.history.get_crashes(fingerprint)
+        is_on_probation = self.quarantine.is_on_probation(fingerprint, now)
+        if is_on_probation or len(endings) >= MIN_CRASHES:
             self._hold(fingerprint, endings, now)
 
     def _hold(self, fingerprint, endings, now):
@@ -231,20 +233,20 @@
             return
         since = find_basis(endings)
         request = self.quarantine.hold(fingerprint, since, now, certain)
-        self._begin_hold(fingerprint, request, FROM_ENDINGS)
+        self._begin_hold(fingerprint, request, SOURCE_CRASHES)
 
     def _begin_hold(self, fingerprint, request, source):
-        if source != FROM_STORE and request.times:
-            key = (ToldKind.HELD, (fingerprint,), "", request.since)
+        if source != SOURCE_STORE and request.times:
+            key = (GossipKind.HELD, (fingerprint,), "", request.since)
             self.gossip.add(key, self.nodes, rank=HELD_RANK)
-        endings = self.history.get_endings(fingerprint)
-        self.observe(HoldBegun(fingerprint, request, endings, source))
+        endings = self.history.get_crashes(fingerprint)
+        self.observe(QuarantineStarted(fingerprint, request, endings, source))
 
     def _take_answer(self, fingerprints, at):
-        news = [name for name in fingerprints if self.history.note_answer(name, at)]
+        news = [name for name in fingerprints if self.history.record_answer(name, at)]
         released = [name for name in fingerprints if self._release(name, at)]
         if news or released:
-            self.gossip.add((ToldKind.ANSWERED, fingerprints, "", at), self.nodes)
+            self.gossip.add((GossipKind.ANSWERED, fingerprints, "", at), self.nodes)
 
     def _release(self, fingerprint, at):
         """Let a request go that was answered at a time; return whether it was held."""
@@ -252,7 +254,7 @@
         if held is None or held.since > at:
             return False
         self.quarantine.release(fingerprint)
-        self.observe(HoldEnded(fingerprint, "answered"))
+        self.observe(QuarantineEnded(fingerprint, "answered"))
         return True
 
     def forget(self, now):
@@ -266,8 +268,8 @@
 
 def build_held(fingerprint, request, now):
     """Return the Told of a request that is held back for long."""
-    return Told(
-        ToldKind.HELD,
+    return GossipItem(
+        GossipKind.HELD,
         (fingerprint,),
         now - request.since,
         left=request.until - now,
--- a/packages/hingesill-core/hingesill_core/crashes/tests/crashplay.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/crashsimulation.py
@@ -4,10 +4,10 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from hingesill_core.crashes.gossip import ROUND_SECONDS
-from hingesill_core.crashes.guard import CrashGuard, HoldBegun
+from hingesill_core.crashes.gossip import GOSSIP_INTERVAL_SECONDS
+from hingesill_core.crashes.guard import CrashGuard, QuarantineStarted
 
-__all__ = ["CrashPlay"]
+__all__ = ["CrashSimulation"]
 
 SLOTS = 3
 WAY_SECONDS = 0.002
@@ -31,7 +31,7 @@
         self.sends = 0
 
 
-class CrashPlay:
+class CrashSimulation:
     """Plays what happens until a time.
 
     Parameters
@@ -86,7 +86,7 @@
         return guard
 
     def _observe(self, change):
-        if isinstance(change, HoldBegun):
+        if isinstance(change, QuarantineStarted):
             self.holds.add(change.fingerprint)
             if change.request.times:
                 self.long_holds.add(change.fingerprint)
@@ -105,8 +105,8 @@
         """Start a node anew; it asks another one what is known."""
         guard = self.guards[number] = self._build_guard(number)
         other = self.rng.choice([g for g in self.guards if g is not guard])
-        for told in other.list_told(self.now):
-            guard.hear(told, self.now)
+        for told in other.list_items(self.now):
+            guard.apply_item(told, self.now)
 
     def cut(self, half):
         """Cut the nodes before a number from all others; 0 ends it."""
@@ -143,7 +143,7 @@
     def send(self, attempt):
         """Send a try to an endpoint with a free slot, unless it is held back."""
         guard = self.guards[attempt.node]
-        if guard.find_hold((attempt.fingerprint,), self.now) is not None:
+        if guard.find_quarantine((attempt.fingerprint,), self.now) is not None:
             refused = self.refused.get(attempt.fingerprint, 0)
             self.refused[attempt.fingerprint] = refused + 1
             return
@@ -165,7 +165,7 @@
         running = self.running[name]
         if running is not None and attempt in running:
             running.remove(attempt)
-            self.guards[attempt.node].note_answer((attempt.fingerprint,), self.now)
+            self.guards[attempt.node].record_answer((attempt.fingerprint,), self.now)
             self._begin_rounds(attempt.node)
 
     def crash(self, name, attempt):
@@ -189,7 +189,7 @@
         """Take the loss of a try at its node: find out, and send again or give up."""
         guard = self.guards[attempt.node]
         may_send = guard.may_send_again((attempt.fingerprint,), self.now, 1)
-        guard.note_ending((attempt.fingerprint,), name, self.now)
+        guard.record_crash((attempt.fingerprint,), name, self.now)
         self._begin_rounds(attempt.node)
         if may_send and attempt.sends < MOST_SENDS:
             self.at(self.now + WAY_SECONDS, self.send, attempt)
@@ -202,13 +202,13 @@
         guard.nodes = len(self.guards)
         if guard.gossip and number not in self._in_round:
             self._in_round.add(number)
-            pause = ROUND_SECONDS * self.rng.uniform(0.8, 1.2)
+            pause = GOSSIP_INTERVAL_SECONDS * self.rng.uniform(0.8, 1.2)
             self.at(self.now + pause, self._play_round, number)
 
     def _play_round(self, number):
         self._in_round.discard(number)
         others = [n for n in range(len(self.guards)) if n != number]
-        chosen, told = self.guards[number].take_round(others, self.now)
+        chosen, told = self.guards[number].start_round(others, self.now)
         for other in chosen if told else ():
             self.datagrams += 1
             is_cut = self.sides.get(other) != self.sides.get(number)
@@ -218,7 +218,7 @@
 
     def _hear(self, number, told):
         for piece in told:
-            self.guards[number].hear(piece, self.now)
+            self.guards[number].apply_item(piece, self.now)
         self._begin_rounds(number)
 
     def count_later(self, fingerprint, grace=3.0):
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_directory.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_directory.py
@@ -4,14 +4,14 @@
 
 from hypothesis import given, strategies as st
 
-from hingesill_core.configuration.services import Part, Route, SendBudget
+from hingesill_core.configuration.services import Route, SendBudget, WeightedService
 from hingesill_core.discovery.assembly import ServiceRules, build_services
+from hingesill_core.discovery.deferral import RETURN_SECONDS
 from hingesill_core.discovery.directory import Directory
-from hingesill_core.discovery.judgement import RETURN_SECONDS
 from hingesill_core.discovery.position import Position
 from hingesill_core.discovery.records import (
     Changes,
-    Declared,
+    DeclaredConfiguration,
     DeclaredService,
     EndpointRecord,
     NodeRecord,
@@ -28,7 +28,7 @@
 
 def build_declared(version, *routes):
     services = (DeclaredService("arena", "/health", 100),)
-    return Declared(version, services, routes)
+    return DeclaredConfiguration(version, services, routes)
 
 
 def build_snapshot(revision, *instances, declared=None):
@@ -72,7 +72,7 @@
     def setUp(self):
         self.directory = Directory()
         self.directory.adopt(build_snapshot(10, "i1", "i2"), 0.0)
-        self.directory.note_return(20.0)
+        self.directory.record_return(20.0)
 
     def test_an_entry_that_lapsed_is_believed_for_a_while(self):
         self.directory.adopt(build_snapshot(12, "i1"), 20.0)
@@ -121,7 +121,7 @@
         self.assertEqual([e.identity for e in service.endpoints], ["i1", "i2"])
 
     def test_parts_share_by_weight(self):
-        parts = (Part("arena", 90), Part("ledger", 10))
+        parts = (WeightedService("arena", 90), WeightedService("ledger", 10))
         route = Route("", "", "/a/", True, True, 1.0, parts=parts)
 
         class Rng:
--- a/packages/hingesill-core/hingesill_core/routing/hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/hedging.py
@@ -2,8 +2,8 @@
 
 from hingesill_core.reasons import RetryReason
 from hingesill_core.retries.budget import TokenBudget
-from hingesill_core.routing.asking import ASKING_POLICY
-from hingesill_core.routing.messages import Denied
+from hingesill_core.routing.loadqueries import FRESH_REPORT_POLICY
+from hingesill_core.routing.messages import RetryDenied
 
 __all__ = ["Hedging"]
 
@@ -47,11 +47,11 @@
         shortens the tail. Where endpoints are asked, it goes to answers that are
         about to miss their target, as late as a second send still helps.
         """
-        typical = self.dispatcher.get_pace(send.ticket.route).typical
-        if self.dispatcher.service.policy == ASKING_POLICY:
-            return compute_last_chance(send, typical)
-        spent = 1 - self.budget.tokens / self.budget.burst
-        return (EARLIEST + (LATEST - EARLIEST) * spent) * typical
+        median = self.dispatcher.get_latency(send.ticket.route).median
+        if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
+            return compute_last_chance(send, median)
+        elapsed = 1 - self.budget.tokens / self.budget.burst
+        return (EARLIEST + (LATEST - EARLIEST) * elapsed) * median
 
     def start(self, ticket, now):
         """Begin a second send of a request while its first has no answer.
@@ -71,8 +71,8 @@
         """
         denial = self._find_denial(ticket, now)
         if denial is not None:
-            return Denied(denial)
-        if self.dispatcher.service.policy == ASKING_POLICY:
+            return RetryDenied(denial)
+        if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
             return self._ask(ticket, now)
         return self._send(ticket, now)
 
@@ -101,8 +101,8 @@
             return RetryReason.DENIED_NOT_REPEATABLE
         if not ticket.may_retry:
             return RetryReason.DENIED_LAYER
-        quick = self.dispatcher.get_pace(ticket.route).quick
-        return RetryReason.DENIED_TIME if now + quick > ticket.deadline else None
+        p10 = self.dispatcher.get_latency(ticket.route).p10
+        return RetryReason.DENIED_TIME if now + p10 > ticket.deadline else None
 
     def _send(self, ticket, now):
         """Return a Send by what is known already, or Denied."""
@@ -112,9 +112,9 @@
             if state.identity not in ticket.tried and state.has_place(ticket, now)
         ]
         if not free:
-            return Denied(RetryReason.DENIED_NO_ENDPOINT)
+            return RetryDenied(RetryReason.DENIED_NO_ENDPOINT)
         if not self.budget.spend():
-            return Denied(RetryReason.DENIED_BUDGET)
+            return RetryDenied(RetryReason.DENIED_BUDGET)
         state = self.dispatcher.choose(free, now, self.dispatcher.rng)
         return self.dispatcher.start_send(ticket, state, now, hedge=True)
 
@@ -129,23 +129,23 @@
         retries = self.dispatcher.retries
         kept = min(KEPT_FOR_RETRIES, max(0.0, retries.burst - 1.0))
         if not retries.spend(keep=kept):
-            return Denied(RetryReason.DENIED_BUDGET)
+            return RetryDenied(RetryReason.DENIED_BUDGET)
         ask = self.dispatcher.binding.enter_hedge(ticket, now)
         if ask is None:
-            retries.give_back()
-            return Denied(RetryReason.DENIED_NO_ENDPOINT)
+            retries.refund()
+            return RetryDenied(RetryReason.DENIED_NO_ENDPOINT)
         return ask
 
     def end(self, ticket):
         """Take back a hedge that asked and was not sent."""
         self.dispatcher.binding.leave(ticket)
-        self.dispatcher.retries.give_back()
+        self.dispatcher.retries.refund()
 
 
-def compute_last_chance(send, typical):
+def compute_last_chance(send, median):
     """Return the seconds after which a second send can just meet the target."""
     ticket = send.ticket
     waited = send.started - ticket.arrived
-    left = ticket.route.target - ticket.spent - waited
-    chance = left - NEEDS * typical
-    return chance if chance >= EARLIEST_ASKED * typical else LATEST * typical
+    left = ticket.route.target - ticket.elapsed - waited
+    chance = left - NEEDS * median
+    return chance if chance >= EARLIEST_ASKED * median else LATEST * median
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -2,14 +2,19 @@
 
 from msgspec.structs import replace
 
-from hingesill_core.limits.asking import AskBudget
-from hingesill_core.limits.turnover import Turnover
+from hingesill_core.limits.dequeueinterval import DequeueInterval
+from hingesill_core.limits.querybudget import QueryBudget
 from hingesill_core.reasons import RefusalReason
-from hingesill_core.routing.asking import Ask, AskRules, Stage, is_good_enough
+from hingesill_core.routing.concurrencymodel import ConcurrencyModel
 from hingesill_core.routing.limitedwaiting import LimitedWaiting
-from hingesill_core.routing.messages import SendEnd
+from hingesill_core.routing.loadqueries import (
+    LoadQuery,
+    QueryRules,
+    Stage,
+    is_good_enough,
+)
+from hingesill_core.routing.messages import SendStatus
 from hingesill_core.routing.selection import EndpointSelection, can_get_work, takes_work
-from hingesill_core.routing.slotknowledge import SlotKnowledge
 from hingesill_core.routing.unhealthyreports import UnhealthyReports
 from hingesill_core.routing.waiting import Waiting
 from hingesill_core.routing.warmup import WarmUpLimit
@@ -26,22 +31,22 @@
     ----------
     dispatcher : Dispatcher
         The service's; its endpoints' states are read and written.
-    pool : AskBudget
+    pool : QueryBudget
         Shared by the services of this node whose budgets are pooled.
-    curves : SlotCurves or None
+    curves : LatencyCurves or None
         Of all services of this node.
-    rules : AskRules
+    rules : QueryRules
         How to ask.
     """
 
     def __init__(self, dispatcher, pool, curves=None, rules=None):
         self.dispatcher = dispatcher
         self.pool = pool
-        self.rules = rules or AskRules()
-        self.budget = AskBudget()
-        self.slots = SlotKnowledge(curves)
+        self.rules = rules or QueryRules()
+        self.budget = QueryBudget()
+        self.slots = ConcurrencyModel(curves)
         self.selection = EndpointSelection(dispatcher, self.rules)
-        self.turnover = Turnover()
+        self.dequeue_interval = DequeueInterval()
         self.warm_up = WarmUpLimit()
         self.unhealthy_reports = UnhealthyReports()
         self.has_reports = True
@@ -75,26 +80,26 @@
         if len(self.waiting) >= self.dispatcher.service.queue_limit:
             return self.dispatcher.refuse(ticket, RefusalReason.QUEUE_FULL, now)
         if not self._count_waiting():
-            self.turnover.begin(now)
+            self.dequeue_interval.begin(now)
         waiting = self.waiting[ticket] = self._build_waiting(ticket, now)
         if self.limits.limited and not self.limited.admit(ticket, now):
             self.waiting.pop(ticket)
             return self.dispatcher.refuse(ticket, RefusalReason.ENDPOINTS_LIMITED, now)
         if waiting.get_stage(now, self.rules) is Stage.LATE:
-            return Ask(())
-        return Ask(
+            return LoadQuery(())
+        return LoadQuery(
             self._choose(self.rules.at_once, now, (ticket.route,), is_first=True)
         )
 
     def _build_waiting(self, ticket, now):
-        pace = self.dispatcher.get_pace(ticket.route)
+        pace = self.dispatcher.get_latency(ticket.route)
         target = ticket.route.target or self.rules.default_target
         longest = self.rules.longest_wait * (ticket.deadline - ticket.arrived)
         return Waiting(
             ticket,
             since=now,
-            late_at=ticket.arrived + self.rules.patience * target - ticket.spent,
-            until=min(ticket.deadline - pace.quick, ticket.arrived + longest),
+            late_at=ticket.arrived + self.rules.patience * target - ticket.elapsed,
+            until=min(ticket.deadline - pace.p10, ticket.arrived + longest),
         )
 
     def enter_hedge(self, ticket, now):
@@ -120,11 +125,11 @@
             return None
         until = now + self.rules.hedge_wait
         self.waiting[ticket] = Waiting(ticket, now, until, until, hedge=True)
-        return Ask(endpoints)
+        return LoadQuery(endpoints)
 
     def estimate_wait(self, now):
         """Return the seconds that a request which came now would wait."""
-        return self.turnover.estimate(self._count_waiting(), now)
+        return self.dequeue_interval.estimate(self._count_waiting(), now)
 
     def _count_waiting(self):
         """Return how many requests wait that have no endpoint at all."""
@@ -134,7 +139,7 @@
         """Forget a request that no longer waits."""
         self.waiting.pop(ticket, None)
 
-    def ask_again(self, now):
+    def next_query(self, now):
         """Return the next Ask for all waiting requests together, or None."""
         if not self.waiting:
             return None
@@ -142,7 +147,7 @@
             self.limited.want_grants(now)
         routes = {waiting.ticket.route for waiting in self.waiting.values()}
         endpoints = self._choose(self._count_wanted(now), now, routes)
-        return Ask(endpoints) if endpoints else None
+        return LoadQuery(endpoints) if endpoints else None
 
     def _count_wanted(self, now):
         """Return how many endpoints are worth asking in this round.
@@ -166,22 +171,22 @@
         """Return the identities of endpoints to ask, as the budget allows."""
         candidates = self.selection.list_candidates(now, routes)
         count = self.budget.take(min(wanted, len(candidates)), now)
-        self.warm_up.note_questions(count, now)
+        self.warm_up.record_queries(count, now)
         chosen = self.selection.sample(candidates, count, now, is_first)
         for state in chosen:
-            state.asked_at = now
-            if state.reach.needs_trial(now):
-                state.reach.on_trial = True
+            state.queried_at = now
+            if state.reach.is_trial_due(now):
+                state.reach.trial_in_flight = True
         return tuple(state.identity for state in chosen)
 
-    def may_ask(self, identity, born, now):
+    def may_query(self, identity, born, now):
         """Tell whether a question to an endpoint's life may still be written."""
         state = self.dispatcher.states.get(identity)
         return state is not None and state.born == born and takes_work(state, now)
 
     def take(self, reply, now):
         """Take a reply; return the Send that it is good for, or None."""
-        state = self.note_reply(reply, now)
+        state = self.record_reply(reply, now)
         if state is None or reply.report is None or not can_get_work(state, now):
             return None
         if reply.is_unhealthy and self.unhealthy_reports.are_believed():
@@ -200,7 +205,7 @@
         first = min(fitting, key=lambda waiting: waiting.get_order(now))
         self.waiting.pop(first.ticket)
         if not first.hedge:
-            self.turnover.note(now)
+            self.dequeue_interval.note(now)
         send = self.dispatcher.start_send(first.ticket, state, now, first.hedge)
         send.occupied = 0 if is_cold else running + 1
         return send
@@ -223,10 +228,10 @@
         if is_cold and stage is Stage.SELECTIVE:
             return False
         most = self.selection.get_most_slowness()
-        usable = self.slots.get_usable(state.report.slots, now)
+        usable = self.slots.get_concurrency_limit(state.report.slots, now)
         return is_good_enough(state.report, stage, usable, most)
 
-    def note_reply(self, reply, now):
+    def record_reply(self, reply, now):
         """Learn from a reply; return the endpoint's state, or None if it is gone.
 
         Notes
@@ -240,13 +245,13 @@
         if born is None and state is not None:
             born = state.born
         if born is not None:
-            self.dispatcher.openings.note(
-                reply.endpoint, born, reply.rest, reply.leaving, now
+            self.dispatcher.service_availability.note(
+                reply.endpoint, born, reply.backoff, reply.leaving, now
             )
         if state is None or born != state.born:
             return None
         state.reach.note(reply.end, now, may_eject=True)
-        if reply.end is SendEnd.ANSWERED:
+        if reply.end is SendStatus.ANSWERED:
             if reply.is_unhealthy is not None:
                 self.unhealthy_reports.note(reply.is_unhealthy)
             if reply.limit is not None and reply.sent_at is not None:
@@ -255,19 +260,19 @@
                     reply.endpoint, state.born, limit, sent_at, now, is_health=True
                 )
             if reply.warm_in is not None:
-                state.note_warmth(reply.warm_in, now)
+                state.record_warm_up(reply.warm_in, now)
             self.has_reports = reply.report is not None
             if reply.report is not None:
                 state.report = complete_report(reply.report, state)
                 self.selection.slowness.note(reply.report.slowness)
         return state
 
-    def note_answer(self, send, seconds, now):
+    def record_answer(self, send, seconds, now):
         """Learn from an answer how much taken slots slow work down."""
         state = self.dispatcher.find_state(send)
         if send.occupied and state is not None:
             route = send.ticket.route
-            self.slots.note_answer(route, seconds, send.occupied, state.slots, now)
+            self.slots.record_answer(route, seconds, send.occupied, state.slots, now)
 
     def expire(self, now):
         """Yield (ticket, decision) for each request that waits no longer."""
@@ -298,7 +303,7 @@
     def _find_opening_refusal(self, ticket, now):
         """Return the Refusal of a request that no endpoint takes soon, or None."""
         tried = ticket.tried if len(self.dispatcher.states) > 1 else ()
-        return self.dispatcher.openings.find_refusal(ticket, now, tried)
+        return self.dispatcher.service_availability.find_refusal(ticket, now, tried)
 
 
 def complete_report(report, state):
--- a/packages/hingesill-core/hingesill_core/routing/asking.py
+++ b/packages/hingesill-core/hingesill_core/routing/loadqueries.py
@@ -10,18 +10,25 @@
 
 from msgspec import Struct
 
-from hingesill_core.ratelimits.reportedlimits import NamedLimit
-from hingesill_core.routing.availability import NO_REST, RequestedRest
+from hingesill_core.ratelimits.reportedlimits import ParsedLimit
+from hingesill_core.routing.availability import NO_BACKOFF, RequestedBackoff
 from hingesill_core.routing.load_report import LoadReport
-from hingesill_core.routing.messages import SendEnd
+from hingesill_core.routing.messages import SendStatus
 
-__all__ = ["ASKING_POLICY", "Ask", "AskRules", "Reply", "Stage", "is_good_enough"]
+__all__ = [
+    "FRESH_REPORT_POLICY",
+    "LoadQuery",
+    "QueryRules",
+    "LoadReply",
+    "Stage",
+    "is_good_enough",
+]
 
 # The policy of a declaration whose endpoints are asked before each send.
-ASKING_POLICY = "fresh_report"
+FRESH_REPORT_POLICY = "fresh_report"
 
 
-class AskRules(Struct, frozen=True):
+class QueryRules(Struct, frozen=True):
     """How a service's requests ask; times in seconds.
 
     Attributes
@@ -87,7 +94,7 @@
     LATE = 2
 
 
-class Ask(Struct, frozen=True):
+class LoadQuery(Struct, frozen=True):
     """Ask these endpoints for their load; the request waits meanwhile.
 
     Parameters
@@ -99,14 +106,14 @@
     endpoints: tuple[str, ...]
 
 
-class Reply(Struct, frozen=True):
+class LoadReply(Struct, frozen=True):
     """What asking an endpoint brought.
 
     Parameters
     ----------
     endpoint : str
         Its identity.
-    end : SendEnd
+    end : SendStatus
         ANSWERED, or why there is no report.
     report : LoadReport or None
         Its load, if it told it.
@@ -116,25 +123,25 @@
         It says that it is not well, or leaving; None if it did not tell.
     born : int or None
         The life of the endpoint that was asked; None if that is not known.
-    limit : NamedLimit or None
+    limit : ParsedLimit or None
         What the reply named; None if it did not come.
     sent_at : float or None
         When the question was sent; None if the reply is to no question.
-    rest : RequestedRest
+    rest : RequestedBackoff
         For which the endpoint wants nothing more from this node.
     leaving : bool
         The endpoint said that it is leaving.
     """
 
     endpoint: str
-    end: SendEnd
+    end: SendStatus
     report: LoadReport | None = None
     warm_in: float | None = None
     is_unhealthy: bool | None = None
     born: int | None = None
-    limit: NamedLimit | None = None
+    limit: ParsedLimit | None = None
     sent_at: float | None = None
-    rest: RequestedRest = NO_REST
+    backoff: RequestedBackoff = NO_BACKOFF
     leaving: bool = False
 
 
--- a/packages/hingesill-core/hingesill_core/routing/messages.py
+++ b/packages/hingesill-core/hingesill_core/routing/messages.py
@@ -5,17 +5,17 @@
 from msgspec import Struct, field
 
 from hingesill_core.configuration.services import Route
-from hingesill_core.ratelimits.reportedlimits import NamedLimit
+from hingesill_core.ratelimits.reportedlimits import ParsedLimit
 from hingesill_core.reasons import Outcome, RefusalReason, RetryReason
-from hingesill_core.routing.availability import NO_REST, RequestedRest
+from hingesill_core.routing.availability import NO_BACKOFF, RequestedBackoff
 from hingesill_core.routing.load_report import LoadReport
 
 __all__ = [
-    "Denied",
-    "Hold",
+    "RetryDenied",
+    "Queued",
     "Refusal",
     "Send",
-    "SendEnd",
+    "SendStatus",
     "SendResult",
     "Ticket",
 ]
@@ -51,8 +51,8 @@
     sends: int = 0
     exposed: bool = False
     waiting: bool = False
-    spent: float = 0.0
-    barred: bool = False
+    elapsed: float = 0.0
+    retry_forbidden: bool = False
 
 
 class Send(Struct, eq=False):
@@ -89,7 +89,7 @@
     born: int = 0
 
 
-class Hold(Struct, frozen=True):
+class Queued(Struct, frozen=True):
     """Hold the request: a later ``pump`` or ``expire`` names it."""
 
 
@@ -111,13 +111,13 @@
     retry_after: float | None = None
 
 
-class Denied(Struct, frozen=True):
+class RetryDenied(Struct, frozen=True):
     """A request is not sent again, with the reason."""
 
     reason: RetryReason
 
 
-class SendEnd(str, Enum):
+class SendStatus(str, Enum):
     """How a send ended.
 
     Notes
@@ -140,7 +140,7 @@
 
     Parameters
     ----------
-    end : SendEnd
+    end : SendStatus
         How it ended.
     report : LoadReport or None
         The endpoint's word on its load, if one came.
@@ -148,15 +148,15 @@
         The endpoint said that it is leaving.
     cold : bool
         The endpoint said that it has just started.
-    rest : RequestedRest
+    rest : RequestedBackoff
         For which the endpoint wants nothing more from this node.
-    limit : NamedLimit or None
+    limit : ParsedLimit or None
         What the answer named; None if no head of this endpoint's came.
     """
 
-    end: SendEnd
+    end: SendStatus
     report: LoadReport | None = None
     leaving: bool = False
     cold: bool = False
-    rest: RequestedRest = NO_REST
-    limit: NamedLimit | None = None
+    backoff: RequestedBackoff = NO_BACKOFF
+    limit: ParsedLimit | None = None
--- a/packages/hingesill-core/hingesill_core/routing/tests/loadplay.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/loadsimulation.py
@@ -11,15 +11,15 @@
 
 from hingesill_core.configuration.services import Endpoint, ProbeBudget, Service
 from hingesill_core.reasons import Outcome
-from hingesill_core.routing.tests.loads import Request
-from hingesill_core.routing.tests.playedendpoint import (
+from hingesill_core.routing.tests.simulatedendpoint import (
     DATA_CENTRES,
     SLOTS,
-    PlayedEndpoint,
+    SimulatedEndpoint,
 )
-from hingesill_core.routing.tests.playednode import PlayedNode
+from hingesill_core.routing.tests.simulatednode import SimulatedNode
+from hingesill_core.routing.tests.workloads import Request
 
-__all__ = ["Play"]
+__all__ = ["Simulation"]
 
 NEAR_SECONDS = 0.0002
 FAR_SECONDS = 0.0014
@@ -35,7 +35,7 @@
 NEWS_SECONDS = 0.5
 
 
-class Play:
+class Simulation:
     """A load, played.
 
     Parameters
@@ -53,7 +53,7 @@
         self.kinds = {kind.route: kind for kind in load.kinds}
         self.endpoints = {}
         for number in range(load.endpoints):
-            endpoint = PlayedEndpoint(self, number)
+            endpoint = SimulatedEndpoint(self, number)
             self.endpoints[endpoint.identity] = endpoint
         self.service = self._build_service()
         self.requests = []
@@ -87,7 +87,7 @@
         )
 
     def _start_nodes(self):
-        self.nodes = [PlayedNode(self, number) for number in range(self.load.nodes)]
+        self.nodes = [SimulatedNode(self, number) for number in range(self.load.nodes)]
         if self.names_limits:
             self._connect_limits()
         if self.profile is not None:
@@ -115,27 +115,27 @@
 
     def _tell_limits(self, node):
         if node.is_alive and self.now <= self.load.seconds:
-            node.fleet_limits.tell(self.now)
+            node.fleet_limits.run_gossip_round(self.now)
             self.after(NEWS_SECONDS, self._tell_limits, node)
 
     def _report(self, node, relay):
         """Let a node tell its relay what it has learnt."""
         if not node.is_alive or self.now > self.load.seconds:
             return
-        news = node.slots.take_news(self.now)
+        news = node.slots.take_unreported(self.now)
         if news is not None:
-            relay.slots.add_news(news, self.now)
-        is_settled = node.slots.is_settled(self.now)
-        pause = REPORT_SECONDS if is_settled else FIRST_REPORT_SECONDS
+            relay.slots.merge_report(news, self.now)
+        is_stable = node.slots.is_stable(self.now)
+        pause = REPORT_SECONDS if is_stable else FIRST_REPORT_SECONDS
         self.after(pause, self._report, node, relay)
 
     def _review(self, relay):
         """Let a relay keep what is worth telling."""
         if not relay.is_alive or self.now > self.load.seconds:
             return
-        if relay.slots.is_worth_telling(self.now):
+        if relay.slots.should_publish(self.now):
             self.profile = relay.slots.build_profile(self.now)
-            relay.slots.mark_told(self.profile, self.now)
+            relay.slots.mark_published(self.profile, self.now)
             self.tellings += 1
             self.after(TELLING_SECONDS, self._tell_all, self.nodes, self.profile)
         self.after(REVIEW_SECONDS, self._review, relay)
--- a/packages/hingesill-core/hingesill_core/routing/tests/playedendpoint.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/simulatedendpoint.py
@@ -1,11 +1,11 @@
 """An endpoint of a played load: its slots, its queue, and what is wrong for a while."""
 
-from hingesill_core.ratelimits.reportedlimits import NO_LIMIT, NamedLimit
+from hingesill_core.ratelimits.reportedlimits import NO_LIMIT, ParsedLimit
 from hingesill_core.routing.load_report import LoadReport
-from hingesill_core.routing.messages import SendEnd, SendResult
-from hingesill_core.routing.tests.loads import Spell
+from hingesill_core.routing.messages import SendResult, SendStatus
+from hingesill_core.routing.tests.workloads import FaultPeriod
 
-__all__ = ["DATA_CENTRES", "SLOTS", "PlayedEndpoint"]
+__all__ = ["DATA_CENTRES", "SLOTS", "SimulatedEndpoint"]
 
 DATA_CENTRES = 6
 SLOTS = 3
@@ -16,7 +16,7 @@
 KNEE_FACTOR = 1.7
 
 
-class PlayedEndpoint:
+class SimulatedEndpoint:
     """An endpoint with slots and a queue."""
 
     def __init__(self, play, number):
@@ -55,7 +55,7 @@
     def name_limit(self):
         """Return what the head of an answer names as its limit."""
         spell = self.find_spell()
-        return NO_LIMIT if spell is None else NamedLimit(spell.limit)
+        return NO_LIMIT if spell is None else ParsedLimit(spell.limit)
 
     def arrive(self, node, send):
         """Take a request, or refuse it."""
@@ -63,9 +63,9 @@
         spell = self.find_spell()
         is_shed = spell is not None and self.play.rng.random() < spell.shed
         if spell is not None and spell.down:
-            self._tell(node, send, SendEnd.LOST)
+            self._tell(node, send, SendStatus.LOST)
         elif is_shed or len(self.queue) >= QUEUE:
-            self._tell(node, send, SendEnd.REFUSED)
+            self._tell(node, send, SendStatus.REFUSED)
         elif len(self.running) < SLOTS:
             self._begin(node, send)
         else:
@@ -84,12 +84,12 @@
         if send not in self.running:
             return
         self._free(send)
-        spell = self.find_spell() or Spell(0.0, 0.0)
+        spell = self.find_spell() or FaultPeriod(0.0, 0.0)
         luck = self.play.rng.random()
         if luck < spell.broken:
-            self._tell(node, send, SendEnd.LOST)
+            self._tell(node, send, SendStatus.LOST)
         elif luck >= spell.broken + spell.lost:
-            self._tell(node, send, SendEnd.ANSWERED)
+            self._tell(node, send, SendStatus.ANSWERED)
 
     def _free(self, send):
         del self.running[send]
--- a/packages/hingesill-node/hingesill_node/control/node.py
+++ b/packages/hingesill-node/hingesill_node/control/node.py
@@ -8,7 +8,7 @@
 from hingesill_node.clocks import read_boot_time
 from hingesill_node.control.publisher import Publisher
 from hingesill_node.control.thread import ControlThread
-from hingesill_node.crashes.spreading import Spreader
+from hingesill_node.crashes.crashgossip import CrashGossip
 from hingesill_node.datagramport import DatagramPort
 from hingesill_node.datapath.announcements import Announcements
 from hingesill_node.datapath.prober import Prober
@@ -70,8 +70,8 @@
             return error
         port = DatagramPort(self.counters)
         port.start(self.address)
-        self.announcements.start(port, runners.note_suspicion)
-        Spreader(runners.guard, self._list_peers, self.counters).start(port)
+        self.announcements.start(port, runners.record_suspicion)
+        CrashGossip(runners.guard, self._list_peers, self.counters).start(port)
         LimitExchange(
             runners.limits, port, self._list_peers, runners, self.counters
         ).start(split_address(self.address))
@@ -81,15 +81,15 @@
     def _list_peers(self):
         return self.blackboard.peers
 
-    def is_settled(self):
+    def is_initialized(self):
         """See `node.Control`."""
         return self.thread.state.settled
 
-    def is_heard(self):
+    def is_connected(self):
         """See `node.Control`."""
         state = self.thread.state
         others = len(state.membership.list_all()) > 1
-        if state.store_answers or not others:
+        if state.is_store_available or not others:
             return True
         last = state.last_peer_at
         return last is not None and self.clock() - last < SILENT_SECONDS
--- a/packages/hingesill-node/hingesill_node/discovery/control.py
+++ b/packages/hingesill-node/hingesill_node/discovery/control.py
@@ -14,8 +14,8 @@
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_node.blackboard import Configuration
 from hingesill_node.clocks import read_boot_time
-from hingesill_node.crashes.holdstore import HoldStore
-from hingesill_node.crashes.spreading import Spreader
+from hingesill_node.crashes.crashgossip import CrashGossip
+from hingesill_node.crashes.quarantinestore import QuarantineStore
 from hingesill_node.datagramport import DatagramPort
 from hingesill_node.datapath.server import listen, start_server
 from hingesill_node.discovery.follower import Follower
@@ -45,12 +45,12 @@
 class NoAnnouncements:
     """For nodes that tell each other nothing of endpoints."""
 
-    is_heard = False
+    is_connected = False
 
-    def tell_drain(self, endpoint):
+    def announce_drain(self, endpoint):
         """Drop the word that an endpoint is leaving: its entry says so too."""
 
-    def tell_suspicion(self, endpoint, ratio, now):
+    def announce_suspicion(self, endpoint, ratio, now):
         """Drop the word that an answer is overdue."""
 
 
@@ -96,7 +96,7 @@
             source,
             entry,
             self._lists,
-            lambda: self.follower.store_answers,
+            lambda: self.follower.is_store_available,
             lambda: self.follower.directory.position.era,
             self._get_entering_seconds,
             self.clock,
@@ -119,7 +119,7 @@
         application = PeerApplication(
             follower.directory,
             follower.feed,
-            runners.add_news,
+            runners.merge_report,
             lambda: follower.is_sure,
         )
         start_server(listener, application)
@@ -140,12 +140,12 @@
     def _start_guard(self, guard):
         """Keep in the store which requests are held back."""
         follower = self.follower
-        self.holds = HoldStore(
+        self.holds = QuarantineStore(
             follower.source,
             follower.directory,
             guard,
             follower.is_watching_for_others,
-            lambda: follower.store_answers,
+            lambda: follower.is_store_available,
         )
         self.holds.take(follower.directory.held)
         eventlet.spawn(self.holds.run)
@@ -157,7 +157,7 @@
             port.start(self.address)
         except OSError as error:
             return f"control_address {self.address}: {error.strerror}"
-        Spreader(runners.guard, self.list_peers, self.counters).start(port)
+        CrashGossip(runners.guard, self.list_peers, self.counters).start(port)
         LimitExchange(
             runners.limits, port, self.list_peers, runners, self.counters
         ).start(split_address(self.address))
@@ -234,14 +234,14 @@
         # with each node that comes makes all services be configured anew.
         place = 0
         if nodes > self.settings.extra_sends:
-            place = find_place(directory.nodes, self.follower.choice.own.name)
+            place = find_node_index(directory.nodes, self.follower.choice.own.name)
         return FleetView(self.settings.data_centre, nodes, limit, place)
 
-    def is_settled(self):
+    def is_initialized(self):
         """See `node.Control`."""
-        return self.follower.is_settled()
+        return self.follower.is_initialized()
 
-    def is_heard(self):
+    def is_connected(self):
         """See `node.Control`."""
         return self.follower.get_silence() < SILENT_SECONDS
 
@@ -272,7 +272,7 @@
         """Green threads end with the process."""
 
 
-def find_place(nodes, name):
+def find_node_index(nodes, name):
     """Return how many nodes' names go before one; None if it is not among them."""
     return sum(other < name for other in nodes) if name in nodes else None
 
--- a/packages/hingesill-node/hingesill_node/discovery/follower.py
+++ b/packages/hingesill-node/hingesill_node/discovery/follower.py
@@ -15,7 +15,7 @@
 from hingesill_node.discovery.frames import FrameKind
 from hingesill_node.discovery.publisheddirectory import PublishedDirectory
 from hingesill_node.discovery.relayclient import RelayLost
-from hingesill_node.discovery.storepauses import StorePauses
+from hingesill_node.discovery.storebackoff import StoreBackoff
 from hingesill_node.discovery.storewatch import StoreWatch
 from hingesill_node.telemetry.events import Event, log_event
 
@@ -101,7 +101,7 @@
         self.directory = self.held.directory
         self.feed = self.held.feed
         self.watch = StoreWatch(clock)
-        self.store_answers = True
+        self.is_store_available = True
         self.is_synced = False
         self.follows = ""
         self.heard_at = clock()
@@ -110,7 +110,7 @@
         # What a read tells may be seconds old, or a copy that lacks what was accepted:
         # another node has been asked, or a relay has told of it.
         self.is_sure = choice is None
-        self.pauses = StorePauses()
+        self.pauses = StoreBackoff()
         # The relay that was lost last has said so itself.
         self._relays_live = False
         self._read_at = float("-inf")
@@ -131,7 +131,7 @@
         """Serve no other node any more: a planned stop has begun."""
         self.feed.end("the node stops")
 
-    def is_settled(self):
+    def is_initialized(self):
         """Tell whether requests can be served by what is known."""
         directory = self.directory
         is_known = directory.declared is not None and bool(directory.endpoints)
@@ -260,12 +260,12 @@
                     log_event(Event.RELAY_CAUGHT_UP, relay=relay.name)
                     return
         except RelayLost as error:
-            self.choice.note_failure(relay, self.clock())
+            self.choice.record_failure(relay, self.clock())
             self._relays_live = error.lives
             self._look_from = self.clock() + LOOK_SECONDS
             if self.follows:
                 log_event(Event.RELAY_LOST, relay=relay.name, detail=str(error))
-            elif not self.is_synced and not self.store_answers:
+            elif not self.is_synced and not self.is_store_available:
                 eventlet.sleep(OUTAGE_PAUSE * random.uniform(0.5, 1.5))
         finally:
             self.follows = ""
@@ -279,7 +279,7 @@
         now = self.clock()
         self.heard_at = now
         if frame.return_age is not None:
-            self.directory.note_return(now - frame.return_age)
+            self.directory.record_return(now - frame.return_age)
         if frame.kind is FrameKind.WHOLE:
             self._begin_stream(relay, frame.content)
         elif frame.kind is FrameKind.CHANGES:
@@ -292,9 +292,9 @@
         self.is_synced = False
         self.feed.close("the node follows a relay")
         self.follows = relay.name
-        self.choice.note_success(relay)
-        self.store_answers = True
-        self.pauses.note_news()
+        self.choice.record_success(relay)
+        self.is_store_available = True
+        self.pauses.record_update()
         self.is_sure = True
         # One that is behind is no fault: it is asked again once it has caught up.
         if not self.held.take(self.directory.adopt, snapshot):
@@ -316,7 +316,7 @@
             self._note_failure(answer)
         elif isinstance(answer, Changes):
             self._note_answer()
-            self.pauses.note_answer()
+            self.pauses.record_answer()
             self._take_changes(answer)
         else:
             self._note_answer()
@@ -338,10 +338,10 @@
             self._pause()
             return False
         self.heard_at = self.clock()
-        if self._is_relay() or (self.store_answers and not self._relays_live):
+        if self._is_relay() or (self.is_store_available and not self._relays_live):
             return True
         self.choice.forget_failures()
-        self.pauses.let_relays_go_first(self.clock(), not self.store_answers)
+        self.pauses.let_relays_go_first(self.clock(), not self.is_store_available)
         return False
 
     def _watch(self):
@@ -373,17 +373,17 @@
         self.pauses.pause(self._is_relay(), nodes, self.clock())
 
     def _note_lost(self, failure):
-        if self.store_answers:
+        if self.is_store_available:
             log_event(Event.STORE_LOST, detail=failure.reason)
-        self.store_answers = False
+        self.is_store_available = False
         self.feed.close("the store does not answer")
 
     def _note_answer(self):
         now = self.clock()
         self.heard_at = now
-        if not self.store_answers:
-            self.store_answers = True
-            self.directory.note_return(now)
+        if not self.is_store_available:
+            self.is_store_available = True
+            self.directory.record_return(now)
             log_event(Event.STORE_BACK, position=str(self.directory.position))
 
     def _take_changes(self, changes):
@@ -396,13 +396,13 @@
     def _take_snapshot(self, snapshot):
         if self.directory.is_restored_by(snapshot.position):
             # It may have been away too briefly for any call to fail.
-            self.directory.note_return(self.clock())
+            self.directory.record_return(self.clock())
         if not self.held.take(self.directory.adopt, snapshot):
             held, read = self.directory.position, snapshot.position
             log_event(Event.STORE_BEHIND, held=str(held), read=str(read))
             self._pause()
             return
-        self.pauses.note_answer()
+        self.pauses.record_answer()
         self.is_synced = True
         self._read_at = self.clock()
         self.held.publish_changes()
@@ -445,7 +445,7 @@
     def _ask_peers_often(self):
         while True:
             eventlet.sleep(PEER_SECONDS * random.uniform(0.8, 1.2))
-            if not self.store_answers:
+            if not self.is_store_available:
                 self._ask_peer()
 
     def _ask_peer(self):
