--- a/packages/hingesill-node/hingesill_node/settings.py
+++ b/packages/hingesill-node/hingesill_node/settings.py
@@ -227,7 +227,7 @@
         ),
     ] = 1.0
     reuse_port: Annotated[
-        bool, Meta(description="ProbeShare the callers' port with other nodes.")
+        bool, Meta(description="Share the callers' port with other nodes.")
     ] = False
     max_body_bytes: Annotated[
         int, Meta(ge=0, description="Longest body passed on.")
