--- a/packages/hingesill-core/hingesill_core/crashes/__init__.py
+++ b/packages/hingesill-core/hingesill_core/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which endpoints end: what is known, held and told of them."""
+"""Requests under which endpoints crash: records, quarantine and gossip messages."""
--- a/packages/hingesill-core/hingesill_core/crashes/attribution.py
+++ b/packages/hingesill-core/hingesill_core/crashes/attribution.py
@@ -1,131 +1,135 @@
-"""Whether it was this request, of those that endpoints had when they ended."""
+"""Attribution of endpoint crashes to one of the requests that the endpoints had."""
 
 from msgspec import Struct
 
-from hingesill_core.crashes.fingerprint import get_breadth
+from hingesill_core.crashes.fingerprint import get_scope
 
-__all__ = ["MIN_CRASHES", "find_basis", "is_certain"]
+__all__ = ["MIN_CRASHES", "find_clearing_time", "is_confirmed"]
 
-# Endings after which a request is held back, for a moment at least.
+# Number of crashes after which a request is quarantined, at least provisionally.
 MIN_CRASHES = 3
-# Endings after which a request is held back for long, whatever else ends endpoints.
-MANY_ENDINGS = 5
-# Longest gap between endings of one event, in seconds: many endpoints may end at once
-# for a reason of their own.
+# Number of crashes after which a quarantine is confirmed, whatever other requests were
+# at the endpoints.
+MIN_CRASHES_TO_CONFIRM = 5
+# Maximum gap between crashes of one event, in seconds: many endpoints may crash at once
+# for a reason that has nothing to do with the request.
 EVENT_SECONDS = 1.0
-# Longest distance at which endings of other requests belong to an event, in seconds;
+# Maximum distance at which crashes under other requests belong to an event, in seconds;
 # longer than a retry and a caller's own repeat take.
-NEAR_SECONDS = 2.0
+NEARBY_SECONDS = 2.0
 
 
-class Life(Struct, frozen=True):
-    """One life of an endpoint that ended, with the requests that it had.
+class CrashedIncarnation(Struct, frozen=True):
+    """One incarnation of an endpoint that crashed, with the requests that it had.
 
     Parameters
     ----------
     at : float
-        When it was first seen to have ended, in seconds of the node's clock.
+        Time at which the crash was first seen, in seconds of the node's clock.
     requests : frozenset of str
-        Fingerprints.
+        Fingerprints of the requests.
     """
 
     at: float
     requests: frozenset
 
 
-def find_basis(endings):
+def find_clearing_time(crashes):
     """Return the time after which an answer shows that a request is harmless.
 
     Parameters
     ----------
-    endings : sequence of Ending
-        That count against it, one at least.
+    crashes : sequence of EndpointCrash
+        The crashes that count against the request, at least one.
 
     Notes
     -----
-    Fewer endings than needed would be left. So an answer that another node tells of
-    later than the request was held back still lets it go.
+    An answer after this time leaves fewer crashes than a quarantine needs. So an answer
+    still releases the request if another node reports it after the quarantine began.
     """
-    times = sorted(ending.at for ending in endings)
+    times = sorted(crash.at for crash in crashes)
     return times[-MIN_CRASHES:][0]
 
 
-def is_certain(history, fingerprint, held, was_held):
-    """Tell whether a request is to be held back for long.
+def is_confirmed(history, fingerprint, quarantined, was_quarantined):
+    """Return whether the quarantine of a request is to be confirmed.
 
     Parameters
     ----------
     history : CrashHistory
-        What is known.
+        All crashes that count.
     fingerprint : str
-        Of the request.
-    held : set of str
-        Requests that are held back for long: they explain the endings that they have.
-    was_held : bool
-        It was held back for long before.
+        The request.
+    quarantined : set of str
+        Other requests with a confirmed quarantine: they explain their crashes.
+    was_quarantined : bool
+        The request had a confirmed quarantine before.
 
     Notes
     -----
-    Whoever was there by chance is answered as soon as an endpoint lives for the tenth
-    of a second that it takes. So the endings must belong to two events, without an
+    An unrelated request is answered as soon as an endpoint runs for the tenth of a
+    second that the request takes. So the crashes must belong to two events, without an
     answer in between.
 
-    An endpoint that ends takes all its requests with it, and those are sent again to
-    the endpoints that are left, often to the same one, so that such a companion is lost
-    with the culprit more than once. Where another request explains the same
-    endings, or most endings around are not its own, it takes more of them.
+    When an endpoint crashes, all its requests are lost and sent again to the remaining
+    endpoints, often to the same one, so an unrelated request may be lost together with
+    the harmful one more than once. If another request explains the same crashes, or
+    most crashes nearby happened without the request, more crashes are needed.
     """
-    endings = history.get_crashes(fingerprint)
-    if count_events(endings) + was_held < 2:
+    crashes = history.get_crashes(fingerprint)
+    if count_events(crashes) + was_quarantined < 2:
         return False
-    if len(endings) >= MANY_ENDINGS:
+    if len(crashes) >= MIN_CRASHES_TO_CONFIRM:
         return True
-    lives = list_lives(history, get_breadth(fingerprint))
-    return stands_out(fingerprint, [life for life in lives if not life.requests & held])
+    incarnations = list_incarnations(history, get_scope(fingerprint))
+    return is_best_explanation(
+        fingerprint, [one for one in incarnations if not one.requests & quarantined]
+    )
 
 
-def count_events(endings):
-    """Return the events to which endings belong."""
-    times = sorted(ending.at for ending in endings)
+def count_events(crashes):
+    """Return the number of events to which crashes belong."""
+    times = sorted(crash.at for crash in crashes)
     gaps = zip(times, times[1:])
     return 1 + sum(later - at > EVENT_SECONDS for at, later in gaps)
 
 
-def stands_out(fingerprint, lives):
-    """Tell whether a request is the best explanation of its endings."""
-    own = [life for life in lives if fingerprint in life.requests]
+def is_best_explanation(fingerprint, incarnations):
+    """Return whether a request explains its crashes better than any other request."""
+    own = [one for one in incarnations if fingerprint in one.requests]
     if not own:
         return False
-    others = frozenset.intersection(*(life.requests for life in own))
-    if len(others) > 1:
+    common = frozenset.intersection(*(one.requests for one in own))
+    if len(common) > 1:
         return False
-    near = sum(
-        any(abs(life.at - mine.at) <= NEAR_SECONDS for mine in own) for life in lives
+    nearby = sum(
+        any(abs(one.at - mine.at) <= NEARBY_SECONDS for mine in own)
+        for one in incarnations
     )
-    return 2 * len(own) >= near
+    return 2 * len(own) >= nearby
 
 
-def list_lives(history, breadth):
-    """Return the Life of each ending by fingerprints of one breadth."""
+def list_incarnations(history, scope):
+    """Return the crashed incarnations that fingerprints of one scope report."""
     by_endpoint = {}
-    for fingerprint, ending in history.list_crashes():
-        if get_breadth(fingerprint) == breadth:
-            by_endpoint.setdefault(ending.endpoint, []).append((ending, fingerprint))
-    lives = []
-    for endings in by_endpoint.values():
-        endings.sort(key=lambda pair: pair[0].at)
-        lives.extend(join_same(endings))
-    return lives
-
-
-def join_same(endings):
-    """Yield the lives of one endpoint from its endings in order of time."""
+    for fingerprint, crash in history.list_crashes():
+        if get_scope(fingerprint) == scope:
+            by_endpoint.setdefault(crash.endpoint, []).append((crash, fingerprint))
+    incarnations = []
+    for crashes in by_endpoint.values():
+        crashes.sort(key=lambda pair: pair[0].at)
+        incarnations.extend(group_by_incarnation(crashes))
+    return incarnations
+
+
+def group_by_incarnation(crashes):
+    """Yield the incarnations of one endpoint from its crashes in order of time."""
     first, requests = None, set()
-    for ending, fingerprint in endings:
-        if first is not None and not ending.is_same(first):
-            yield Life(first.at, frozenset(requests))
+    for crash, fingerprint in crashes:
+        if first is not None and not crash.is_same(first):
+            yield CrashedIncarnation(first.at, frozenset(requests))
             first, requests = None, set()
-        first = first or ending
+        first = first or crash
         requests.add(fingerprint)
     if first is not None:
-        yield Life(first.at, frozenset(requests))
+        yield CrashedIncarnation(first.at, frozenset(requests))
--- a/packages/hingesill-core/hingesill_core/crashes/gossip.py
+++ b/packages/hingesill-core/hingesill_core/crashes/gossip.py
@@ -1,4 +1,4 @@
-"""Spreading news to all nodes, without relays and without the store."""
+"""Gossip that reaches all nodes, without relays and without the store."""
 
 from math import ceil, log2
 
@@ -6,91 +6,93 @@
 
 __all__ = ["Gossip", "MAX_GOSSIP_ITEMS", "GOSSIP_FAN_OUT", "GOSSIP_INTERVAL_SECONDS"]
 
-# Interval of gossip rounds, in seconds.
+# Interval between gossip rounds, in seconds.
 GOSSIP_INTERVAL_SECONDS = 0.1
-# Fan-out: nodes to which news is sent in a round.
+# Number of nodes to which items are sent in a round.
 GOSSIP_FAN_OUT = 2
-# Rounds beyond the logarithm of the fleet, for nodes that random choice left out.
-MORE_ROUNDS = 3
-# Most pieces of news in a datagram, so that it fits into 1,400 bytes.
+# Rounds in addition to the logarithm of the fleet size, for nodes that the random
+# choice of peers has missed.
+EXTRA_ROUNDS = 3
+# Maximum number of items in a datagram, so that it fits into 1,400 bytes.
 MAX_GOSSIP_ITEMS = 10
-# Most pieces of news that wait to be passed on.
-MOST_WAITING = 256
+# Maximum number of items that wait to be sent.
+MAX_PENDING_ITEMS = 256
 
 
-class Rumour(Struct):
-    """A piece of news with the rounds in which it is still passed on."""
+class PendingItem(Struct):
+    """Priority of an item and the number of rounds in which it is still sent."""
 
-    rank: int
+    priority: int
     rounds: int
 
 
 class Gossip:
-    """The news that a node passes on, and to whom.
+    """The items that a node sends to randomly chosen peers.
 
     Parameters
     ----------
     rng : random.Random
-        Chooses the nodes.
-    most_told : int
-        Pieces of news in a datagram.
+        Chooses the peers.
+    max_items : int
+        Maximum number of items in a datagram.
     """
 
-    def __init__(self, rng, most_told=MAX_GOSSIP_ITEMS):
+    def __init__(self, rng, max_items=MAX_GOSSIP_ITEMS):
         self._rng = rng
-        self._most_told = most_told
-        self._waiting = {}
+        self._max_items = max_items
+        self._pending = {}
 
     def __len__(self):
-        return len(self._waiting)
+        return len(self._pending)
 
-    def add(self, news, nodes, rank=0):
-        """Pass a piece of news on from the next round.
+    def add(self, item, nodes, priority=0):
+        """Send an item in the coming rounds.
 
         Parameters
         ----------
-        news : hashable
-            Any one that was added before is begun anew.
+        item : hashable
+            An item that is pending already starts again with all its rounds.
         nodes : int
-            Of the fleet.
-        rank : int
-            Of the highest most are passed on where there is too much.
+            Number of nodes in the fleet.
+        priority : int
+            Items with the highest priority are sent first; if too many are pending,
+            one with the lowest priority is dropped.
         """
-        if news not in self._waiting and len(self._waiting) >= MOST_WAITING:
-            lowest = min(self._waiting, key=lambda known: self._waiting[known].rank)
-            if self._waiting[lowest].rank > rank:
+        if item not in self._pending and len(self._pending) >= MAX_PENDING_ITEMS:
+            lowest = min(self._pending, key=lambda known: self._pending[known].priority)
+            if self._pending[lowest].priority > priority:
                 return
-            del self._waiting[lowest]
-        self._waiting[news] = Rumour(rank, count_rounds(nodes))
+            del self._pending[lowest]
+        self._pending[item] = PendingItem(priority, count_rounds(nodes))
 
-    def record_duplicate(self, news):
-        """Pass a piece of news on once less: a node that told of it knew it already."""
-        rumour = self._waiting.get(news)
-        if rumour is None:
+    def record_duplicate(self, item):
+        """Send an item in one round less, as a peer that sent it knows it already."""
+        pending = self._pending.get(item)
+        if pending is None:
             return
-        rumour.rounds -= 1
-        if rumour.rounds <= 0:
-            del self._waiting[news]
+        pending.rounds -= 1
+        if pending.rounds <= 0:
+            del self._pending[item]
 
     def start_round(self, peers):
-        """Return the peers to tell now, and the news for them.
+        """Return the peers of this round and the items to send to them.
 
         Parameters
         ----------
         peers : sequence
             All other nodes.
         """
-        ranked = sorted(self._waiting.items(), key=lambda pair: -pair[1].rank)
-        news = []
-        for piece, rumour in ranked[: self._most_told]:
-            news.append(piece)
-            rumour.rounds -= 1
-            if rumour.rounds <= 0:
-                del self._waiting[piece]
+        ordered = sorted(self._pending.items(), key=lambda pair: -pair[1].priority)
+        items = []
+        for item, pending in ordered[: self._max_items]:
+            items.append(item)
+            pending.rounds -= 1
+            if pending.rounds <= 0:
+                del self._pending[item]
         count = min(GOSSIP_FAN_OUT, len(peers))
-        return self._rng.sample(peers, count), news
+        return self._rng.sample(peers, count), items
 
 
 def count_rounds(nodes):
-    """Return the rounds in which a node passes a piece of news on."""
-    return ceil(log2(max(2, nodes))) + MORE_ROUNDS
+    """Return the number of rounds in which a node sends an item."""
+    return ceil(log2(max(2, nodes))) + EXTRA_ROUNDS
--- a/packages/hingesill-core/hingesill_core/crashes/guard.py
+++ b/packages/hingesill-core/hingesill_core/crashes/guard.py
@@ -1,11 +1,11 @@
-"""One node's guard of endpoints against requests under which they end."""
+"""Protects endpoints against requests under which they crash."""
 
 from msgspec import Struct
 
 from hingesill_core.crashes.attribution import (
     MIN_CRASHES,
-    find_basis,
-    is_certain,
+    find_clearing_time,
+    is_confirmed,
 )
 from hingesill_core.crashes.gossip import Gossip
 from hingesill_core.crashes.history import CrashHistory, EndpointCrash
@@ -14,45 +14,46 @@
 
 __all__ = ["CrashGuard", "SOURCE_STORE", "QuarantineStarted", "QuarantineEnded"]
 
-# How often what is too old is looked for.
-FORGET_SECONDS = 10.0
-# Who told of a hold.
+# Interval between removals of expired records, in seconds.
+CLEANUP_INTERVAL_SECONDS = 10.0
+# Sources of a quarantine: the store, another node, or crashes that this node counted.
 SOURCE_STORE = "store"
 SOURCE_NODE = "node"
 SOURCE_CRASHES = "endings"
-# In gossip a hold goes before any number of endings.
-HELD_RANK = 100
+# Gossip priority of a quarantine; that of crashes is their number, which is lower.
+QUARANTINE_PRIORITY = 100
 
 
 class QuarantineStarted(Struct, frozen=True):
-    """A request is held back from now on."""
+    """A request is quarantined from now on."""
 
     fingerprint: str
     request: QuarantinedRequest
-    endings: tuple
+    crashes: tuple
     source: str
 
 
 class QuarantineEnded(Struct, frozen=True):
-    """A request that was held back may be sent again."""
+    """A request was released from quarantine and may be sent again."""
 
     fingerprint: str
     reason: str
 
 
 class CrashGuard:
-    """Remembers, over tries and nodes, under which requests endpoints ended.
+    """Records under which requests endpoints crashed, over all attempts and nodes.
 
-    Each try has an id of its own and comes to any node, so neither a try nor a node can
-    know that a request ends each endpoint that begins to run it. Nodes tell each other
-    of each ending; a request with three is held back by all of them, for a moment or,
-    once nothing else explains them, for long. Without that it would end endpoint after
-    endpoint as long as its caller comes again.
+    Each attempt has its own id and may come to any node, so neither an attempt nor a
+    single node shows that a request crashes each endpoint that begins to run it. Nodes
+    report each crash to each other. A request with three crashes is quarantined by all
+    nodes: provisionally at first, and for long once no other request explains the
+    crashes. Without that it would crash endpoint after endpoint for as long as its
+    caller repeats it.
 
     Parameters
     ----------
     rng : random.Random
-        For gossip.
+        Chooses the peers of gossip rounds.
     observe : callable
         Called with each QuarantineStarted and QuarantineEnded.
 
@@ -67,49 +68,50 @@
         self.quarantine = Quarantine()
         self.gossip = Gossip(rng)
         self.nodes = 1
-        self._forget_at = 0.0
+        self._next_cleanup_at = 0.0
 
     @property
     def is_idle(self):
-        """Whether nothing at all is known against any request."""
+        """Whether there are no records of any request."""
         return not self.history and not self.quarantine
 
     def find_quarantine(self, fingerprints, now):
-        """Return the QuarantinedRequest of a request that must not be sent, or None.
+        """Return the active QuarantinedRequest of a request, or None.
 
         Parameters
         ----------
         fingerprints : tuple of str
-            Of the request, the narrowest first.
+            Fingerprints of the request, the narrowest first.
         now : float
-            The time.
+            Current time.
         """
         for fingerprint in fingerprints:
-            held = self.quarantine.get(fingerprint)
-            if held is not None and held.is_active(now):
-                return held
+            quarantined = self.quarantine.get(fingerprint)
+            if quarantined is not None and quarantined.is_active(now):
+                return quarantined
         return None
 
     def is_suspect(self, fingerprints):
-        """Tell whether an endpoint ended under a request and none answered it since."""
+        """Return whether an endpoint crashed under a request not answered since."""
         return any(self.history.get_crashes(name) for name in fingerprints)
 
     def is_cleared(self, fingerprint):
-        """Tell whether a request that others may hold back was answered meanwhile."""
-        was_answered = self.history.get_answered(fingerprint) > float("-inf")
+        """Return whether a request was answered that others may still quarantine."""
+        was_answered = self.history.get_answer_time(fingerprint) > float("-inf")
         return was_answered and self.quarantine.get(fingerprint) is None
 
     def may_send_again(self, fingerprints, now, pending):
-        """Tell whether a try that got no answer may be sent to another endpoint.
+        """Return whether an unanswered attempt may be sent to another endpoint.
 
         Parameters
         ----------
         fingerprints : tuple of str
-            Of the request.
+            Fingerprints of the request.
         now : float
-            The time.
+            Current time.
         pending : int
-            Endpoints that may have ended under it, which is being looked at.
+            Number of endpoints that may have crashed under the request and whose check
+            is still running.
         """
         if self.find_quarantine(fingerprints, now) is not None:
             return False
@@ -121,155 +123,160 @@
         return known + pending < MIN_CRASHES
 
     def record_crash(self, fingerprints, endpoint, now):
-        """Take that an endpoint ended while it had a request of this node."""
-        self._take_ending(fingerprints, EndpointCrash(endpoint, now), now)
+        """Record that an endpoint crashed while it had a request of this node."""
+        self._apply_crash(fingerprints, EndpointCrash(endpoint, now), now)
 
     def record_answer(self, fingerprints, now):
-        """Take that an endpoint answered a request of this node."""
+        """Record that an endpoint answered a request of this node."""
         known = tuple(
             name
             for name in fingerprints
             if name in self.history or self.quarantine.get(name) is not None
         )
         if known:
-            self._take_answer(known, now)
-
-    def apply_item(self, told, now):
-        """Take what another node told."""
-        at = now - told.age
-        if told.kind is GossipKind.ENDED:
-            self._take_ending(told.fingerprints, EndpointCrash(told.endpoint, at), now)
-        elif told.kind is GossipKind.ANSWERED:
-            self._take_answer(told.fingerprints, at)
+            self._apply_answer(known, now)
+
+    def apply_item(self, item, now):
+        """Apply a gossip item of another node."""
+        at = now - item.age
+        if item.kind is GossipKind.CRASHED:
+            self._apply_crash(item.fingerprints, EndpointCrash(item.endpoint, at), now)
+        elif item.kind is GossipKind.ANSWERED:
+            self._apply_answer(item.fingerprints, at)
         else:
-            request = QuarantinedRequest(at, now + told.left, told.times)
-            for fingerprint in told.fingerprints:
-                self.adopt(fingerprint, request, SOURCE_NODE)
+            request = QuarantinedRequest(at, now + item.left, item.times)
+            for fingerprint in item.fingerprints:
+                self.apply_quarantine(fingerprint, request, SOURCE_NODE)
 
-    def adopt(self, fingerprint, request, source):
-        """Hold a request back for long, as another node does.
+    def apply_quarantine(self, fingerprint, request, source):
+        """Apply a confirmed quarantine that another node has begun.
 
         Parameters
         ----------
         fingerprint : str
-            Of the request.
+            Fingerprint of the request.
         request : QuarantinedRequest
-            For how long; times of this node's clock.
+            Duration of the quarantine, in times of this node's clock.
         source : str
-            Who told; what comes from the store is not passed on, as all read it.
+            SOURCE_NODE or SOURCE_STORE; quarantines from the store are not sent on by
+            gossip, as all nodes read the store.
         """
         known = self.quarantine.get(fingerprint)
         if known is not None and known.times >= request.times:
             return
-        if request.since <= self.history.get_answered(fingerprint):
+        if request.since <= self.history.get_answer_time(fingerprint):
             return
-        self.quarantine.adopt(fingerprint, request)
-        self._begin_hold(fingerprint, request, source)
+        self.quarantine.put(fingerprint, request)
+        self._announce_quarantine(fingerprint, request, source)
 
     def list_items(self, now):
-        """Return all that is known, for a node that has just started."""
-        held = self.quarantine.list_long(now)
-        told = [build_held(name, request, now) for name, request in held.items()]
-        told += [
-            GossipItem(GossipKind.ENDED, (name,), now - ending.at, ending.endpoint)
-            for name, ending in self.history.list_crashes()
-            if name not in held
+        """Return all crashes and quarantines, for a node that has just started."""
+        quarantined = self.quarantine.list_active_confirmed(now)
+        items = [
+            build_quarantine_item(name, request, now)
+            for name, request in quarantined.items()
         ]
-        return told
+        items += [
+            GossipItem(GossipKind.CRASHED, (name,), now - crash.at, crash.endpoint)
+            for name, crash in self.history.list_crashes()
+            if name not in quarantined
+        ]
+        return items
 
     def start_round(self, peers, now):
-        """Return whom to tell now, and the Told for them.
+        """Return the peers of a gossip round and the GossipItems to send to them.
 
         Notes
         -----
-        News wait as keys; their ages are those of the moment at which they are sent.
+        Pending items are kept as keys, so that their ages are those at the time of
+        sending.
         """
         chosen, keys = self.gossip.start_round(peers)
-        told = (self._build_told(key, now) for key in keys)
-        return chosen, [piece for piece in told if piece is not None]
+        items = (self._build_item(key, now) for key in keys)
+        return chosen, [item for item in items if item is not None]
 
-    def _build_told(self, key, now):
+    def _build_item(self, key, now):
         kind, fingerprints, endpoint, at = key
-        if kind is GossipKind.HELD:
-            held = self.find_quarantine(fingerprints, now)
-            if held is None or not held.times:
+        if kind is GossipKind.QUARANTINED:
+            quarantined = self.find_quarantine(fingerprints, now)
+            if quarantined is None or not quarantined.times:
                 return None
-            return build_held(fingerprints[0], held, now)
+            return build_quarantine_item(fingerprints[0], quarantined, now)
         return GossipItem(kind, fingerprints, now - at, endpoint)
 
-    def _take_ending(self, fingerprints, ending, now):
-        news = [
-            name for name in fingerprints if self.history.record_crash(name, ending)
+    def _apply_crash(self, fingerprints, crash, now):
+        added = [
+            name for name in fingerprints if self.history.record_crash(name, crash)
         ]
-        if not news:
+        if not added:
             return
         counts = [len(self.history.get_crashes(name)) for name in fingerprints]
-        key = (GossipKind.ENDED, fingerprints, ending.endpoint, ending.at)
-        self.gossip.add(key, self.nodes, rank=max(counts))
+        key = (GossipKind.CRASHED, fingerprints, crash.endpoint, crash.at)
+        self.gossip.add(key, self.nodes, priority=max(counts))
         narrower = 0
         for fingerprint, count in zip(fingerprints, counts):
-            # A wider one says no more if all that ended did so under the narrower.
+            # A wider fingerprint adds nothing if the narrower one has all its crashes.
             if count > narrower:
                 narrower = count
-                self._judge(fingerprint, now)
+                self._check_crashes(fingerprint, now)
 
-    def _judge(self, fingerprint, now):
-        """Hold a request back if enough is known against it."""
-        endings = self.history.get_crashes(fingerprint)
+    def _check_crashes(self, fingerprint, now):
+        """Quarantine a request if enough crashes count against it."""
+        crashes = self.history.get_crashes(fingerprint)
         is_on_probation = self.quarantine.is_on_probation(fingerprint, now)
-        if is_on_probation or len(endings) >= MIN_CRASHES:
-            self._hold(fingerprint, endings, now)
+        if is_on_probation or len(crashes) >= MIN_CRASHES:
+            self._start_quarantine(fingerprint, crashes, now)
 
-    def _hold(self, fingerprint, endings, now):
-        """Hold a request back, for long if it is certain that it ends endpoints."""
+    def _start_quarantine(self, fingerprint, crashes, now):
+        """Quarantine a request, provisionally unless it explains the crashes best."""
         before = self.quarantine.get(fingerprint)
         is_active = before is not None and before.is_active(now)
         if is_active and before.times:
             return
-        was_held = before is not None and before.times > 0
-        held = self.quarantine.list_certain() - {fingerprint}
-        certain = is_certain(self.history, fingerprint, held, was_held)
-        if is_active and not certain:
+        was_quarantined = before is not None and before.times > 0
+        others = self.quarantine.list_confirmed() - {fingerprint}
+        confirmed = is_confirmed(self.history, fingerprint, others, was_quarantined)
+        if is_active and not confirmed:
             return
-        since = find_basis(endings)
-        request = self.quarantine.hold(fingerprint, since, now, certain)
-        self._begin_hold(fingerprint, request, SOURCE_CRASHES)
+        since = find_clearing_time(crashes)
+        request = self.quarantine.start(fingerprint, since, now, confirmed)
+        self._announce_quarantine(fingerprint, request, SOURCE_CRASHES)
 
-    def _begin_hold(self, fingerprint, request, source):
+    def _announce_quarantine(self, fingerprint, request, source):
         if source != SOURCE_STORE and request.times:
-            key = (GossipKind.HELD, (fingerprint,), "", request.since)
-            self.gossip.add(key, self.nodes, rank=HELD_RANK)
-        endings = self.history.get_crashes(fingerprint)
-        self.observe(QuarantineStarted(fingerprint, request, endings, source))
+            key = (GossipKind.QUARANTINED, (fingerprint,), "", request.since)
+            self.gossip.add(key, self.nodes, priority=QUARANTINE_PRIORITY)
+        crashes = self.history.get_crashes(fingerprint)
+        self.observe(QuarantineStarted(fingerprint, request, crashes, source))
 
-    def _take_answer(self, fingerprints, at):
-        news = [name for name in fingerprints if self.history.record_answer(name, at)]
+    def _apply_answer(self, fingerprints, at):
+        added = [name for name in fingerprints if self.history.record_answer(name, at)]
         released = [name for name in fingerprints if self._release(name, at)]
-        if news or released:
+        if added or released:
             self.gossip.add((GossipKind.ANSWERED, fingerprints, "", at), self.nodes)
 
     def _release(self, fingerprint, at):
-        """Let a request go that was answered at a time; return whether it was held."""
-        held = self.quarantine.get(fingerprint)
-        if held is None or held.since > at:
+        """Release a request that was answered; return whether it was quarantined."""
+        quarantined = self.quarantine.get(fingerprint)
+        if quarantined is None or quarantined.since > at:
             return False
         self.quarantine.release(fingerprint)
         self.observe(QuarantineEnded(fingerprint, "answered"))
         return True
 
-    def forget(self, now):
-        """Forget what is too old; a request whose hold is over begins its trial."""
-        if now < self._forget_at:
+    def remove_expired(self, now):
+        """Remove expired records, at most once per cleanup interval."""
+        if now < self._next_cleanup_at:
             return
-        self._forget_at = now + FORGET_SECONDS
-        self.history.forget(now)
-        self.quarantine.forget(now)
+        self._next_cleanup_at = now + CLEANUP_INTERVAL_SECONDS
+        self.history.remove_expired(now)
+        self.quarantine.remove_expired(now)
 
 
-def build_held(fingerprint, request, now):
-    """Return the Told of a request that is held back for long."""
+def build_quarantine_item(fingerprint, request, now):
+    """Return the GossipItem of a confirmed quarantine."""
     return GossipItem(
-        GossipKind.HELD,
+        GossipKind.QUARANTINED,
         (fingerprint,),
         now - request.since,
         left=request.until - now,
--- a/packages/hingesill-core/hingesill_core/crashes/messages.py
+++ b/packages/hingesill-core/hingesill_core/crashes/messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of requests under which endpoints ended."""
+"""Gossip messages on requests under which endpoints crashed."""
 
 from enum import IntEnum
 
@@ -8,33 +8,35 @@
 
 
 class GossipKind(IntEnum):
-    """What is told of a request."""
+    """Event that a gossip item reports."""
 
-    # An endpoint ended while it had the request.
-    ENDED = 0
-    # An endpoint answered it.
+    # An endpoint crashed while it had the request.
+    CRASHED = 0
+    # An endpoint answered the request.
     ANSWERED = 1
-    # It is held back for long.
-    HELD = 2
+    # The request is in a confirmed quarantine.
+    QUARANTINED = 2
 
 
 class GossipItem(Struct, frozen=True, array_like=True):
-    """One piece of news.
+    """One event that a node reports to other nodes.
 
     Parameters
     ----------
     kind : GossipKind
-        What happened.
+        The event.
     fingerprints : tuple of str
-        Of the request, the narrowest first; just the one that is held back.
+        Fingerprints of the request, the narrowest first; for a quarantine, only the
+        one that is quarantined.
     age : float
-        Seconds since it happened, when this was sent: nodes have no common clock.
+        Seconds between the event and the sending of this item: nodes have no common
+        clock.
     endpoint : str
-        That ended; empty for the other kinds.
+        The endpoint that crashed; empty for the other kinds.
     left : float
-        Seconds for which it is still held back; 0 for the other kinds.
+        Seconds for which the quarantine still lasts; 0 for the other kinds.
     times : int
-        How often it has been held back; 0 for the other kinds.
+        Number of confirmed quarantines of the request; 0 for the other kinds.
     """
 
     kind: GossipKind
@@ -46,15 +48,15 @@
 
 
 class GossipMessage(Struct, frozen=True, array_like=True):
-    """What one datagram carries.
+    """Content of one datagram.
 
     Parameters
     ----------
-    told : tuple of Told
-        News.
-    asks : bool
-        The sender has just started and wants to be told everything.
+    items : tuple of GossipItem
+        Events that the sender reports.
+    wants_all : bool
+        The sender has just started and requests all items of the recipient.
     """
 
-    told: tuple[GossipItem, ...] = ()
-    asks: bool = False
+    items: tuple[GossipItem, ...] = ()
+    wants_all: bool = False
--- a/packages/hingesill-core/hingesill_core/crashes/quarantine.py
+++ b/packages/hingesill-core/hingesill_core/crashes/quarantine.py
@@ -1,33 +1,34 @@
-"""Requests that are held back, for how long, and what follows."""
+"""Quarantine of requests under which endpoints crashed, and the probation after it."""
 
 from msgspec import Struct
 
 __all__ = ["QUARANTINE_SECONDS", "Quarantine", "QuarantinedRequest"]
 
-# While it is not certain what ended endpoints, so that a request which was there by
-# chance is tried again before its caller gives up.
+# Duration of a provisional quarantine, while the cause of the crashes is uncertain. It
+# is short, so that an unrelated request is retried before its caller gives up.
 SHORT_QUARANTINE_SECONDS = 1.0
-# Of a first long hold; each further one is twice as long. The platform's store grants
-# no longer lease, so what is kept there ends by itself.
+# Duration of the first confirmed quarantine; each further one lasts twice as long, up
+# to the maximum. The maximum is the longest lease that the platform's store grants, so
+# stored quarantines expire with their lease.
 QUARANTINE_SECONDS = 600.0
 MAX_QUARANTINE_SECONDS = 3600.0
-# After a hold, for how long one more ending holds the request back again.
-TRIAL_SECONDS = 600.0
-# Bound of the memory of a node and of what may lie in the store.
+# Time after a quarantine in which a single crash starts the next one.
+PROBATION_SECONDS = 600.0
+# Limits the memory of a node and the number of keys in the store.
 MAX_QUARANTINED_REQUESTS = 256
 
 
 class QuarantinedRequest(Struct, frozen=True):
-    """A request that is sent to no endpoint, or has been let go on trial.
+    """A request that is not sent to any endpoint, or that is on probation.
 
     Parameters
     ----------
     since : float
-        An answer later than this ends the matter, in seconds of the node's clock.
+        An answer later than this clears the request, in seconds of the node's clock.
     until : float
-        It is held back until then.
+        Time at which the quarantine ends.
     times : int
-        How often it has been held back for long; 0 while it is not certain.
+        Number of confirmed quarantines; 0 while the quarantine is provisional.
     """
 
     since: float
@@ -35,22 +36,22 @@
     times: int
 
     def is_active(self, now):
-        """Tell whether it is held back."""
+        """Return whether the request is quarantined."""
         return now < self.until
 
     def is_on_probation(self, now):
-        """Tell whether it was let go, but not long ago."""
-        return self.until <= now < self.until + TRIAL_SECONDS
+        """Return whether the quarantine ended less than the probation time ago."""
+        return self.until <= now < self.until + PROBATION_SECONDS
 
 
 class Quarantine:
-    """Requests by fingerprint that are held back or on trial.
+    """Requests that are quarantined or on probation, by fingerprint.
 
     Notes
     -----
-    A hold ends by itself, whatever comes meanwhile: the endpoints may have been mended.
-    Then one more ending holds the request back again, and an answer ends the matter. A
-    request that goes on ending endpoints costs one an hour.
+    A quarantine always expires, because the endpoints may have been repaired. After
+    that a single crash quarantines the request again, and an answer clears it. A
+    request that continues to crash endpoints costs one endpoint an hour.
     """
 
     def __init__(self):
@@ -60,39 +61,39 @@
         return len(self._requests)
 
     def get(self, fingerprint):
-        """Return the QuarantinedRequest, active or on trial, or None."""
+        """Return the QuarantinedRequest, active or on probation, or None."""
         return self._requests.get(fingerprint)
 
-    def list_long(self, now):
-        """Return by fingerprint those that are held back for long now."""
+    def list_active_confirmed(self, now):
+        """Return the requests in a confirmed quarantine, by fingerprint."""
         return {
             fingerprint: request
             for fingerprint, request in self._requests.items()
             if request.times and request.is_active(now)
         }
 
-    def list_certain(self):
-        """Return the fingerprints of those that were held back for long."""
+    def list_confirmed(self):
+        """Return the fingerprints of confirmed quarantines, active or on probation."""
         return {name for name, request in self._requests.items() if request.times}
 
     def is_on_probation(self, fingerprint, now):
-        """Tell whether one more ending holds a request back again."""
+        """Return whether a single crash quarantines a request again."""
         request = self._requests.get(fingerprint)
         return request is not None and request.is_on_probation(now)
 
-    def hold(self, fingerprint, since, now, is_certain):
-        """Hold a request back from now on; return its QuarantinedRequest."""
+    def start(self, fingerprint, since, now, is_confirmed):
+        """Start the quarantine of a request; return its QuarantinedRequest."""
         before = self._requests.get(fingerprint)
         times = before.times if before is not None else 0
         seconds = SHORT_QUARANTINE_SECONDS
-        if is_certain:
+        if is_confirmed:
             times += 1
-            seconds = compute_hold(times)
+            seconds = compute_quarantine_seconds(times)
         request = QuarantinedRequest(since, now + seconds, times)
-        return self.adopt(fingerprint, request)
+        return self.put(fingerprint, request)
 
-    def adopt(self, fingerprint, request):
-        """Hold a request back as another node does; return the QuarantinedRequest."""
+    def put(self, fingerprint, request):
+        """Add or replace a QuarantinedRequest and return it."""
         if (
             fingerprint not in self._requests
             and len(self._requests) >= MAX_QUARANTINED_REQUESTS
@@ -102,16 +103,16 @@
         return request
 
     def release(self, fingerprint):
-        """Forget a request."""
+        """Remove a request from quarantine or probation."""
         self._requests.pop(fingerprint, None)
 
-    def forget(self, now):
-        """Forget requests that have passed their trial."""
+    def remove_expired(self, now):
+        """Remove requests whose probation is over."""
         for fingerprint, request in list(self._requests.items()):
             if not (request.is_active(now) or request.is_on_probation(now)):
                 del self._requests[fingerprint]
 
 
-def compute_hold(times):
-    """Return the seconds of a long hold, the first one or a further one."""
+def compute_quarantine_seconds(times):
+    """Return the duration of a request's n-th confirmed quarantine."""
     return min(MAX_QUARANTINE_SECONDS, QUARANTINE_SECONDS * 2 ** (times - 1))
--- a/packages/hingesill-core/hingesill_core/crashes/tests/test_fingerprint.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Tests of knowing a request again."""
+"""Tests of request fingerprints."""
 
 import unittest
 
@@ -7,8 +7,8 @@
 REQUEST = ("GET", "a.example", "/plots/7?page=1", "10.0.0.1", b"")
 
 
-def describe(**changes):
-    """Return the fingerprints of a request that differs a little."""
+def build_fingerprints(**changes):
+    """Return the fingerprints of REQUEST with some parts changed."""
     names = ("method", "host", "target", "caller", "body")
     return describe_request(**{**dict(zip(names, REQUEST)), **changes})
 
@@ -16,9 +16,11 @@
 class FingerprintTests(unittest.TestCase):
     def count_same(self, **changes):
         """Return how many fingerprints are those of the unchanged request."""
-        return sum(a == b for a, b in zip(describe(), describe(**changes)))
+        return sum(
+            a == b for a, b in zip(build_fingerprints(), build_fingerprints(**changes))
+        )
 
-    def test_what_each_breadth_leaves_out(self):
+    def test_parts_that_each_scope_excludes(self):
         for same, changes in (
             (3, {"host": "A.EXAMPLE"}),
             (2, {"caller": "10.0.0.2"}),
@@ -31,6 +33,6 @@
             with self.subTest(changes=changes):
                 self.assertEqual(self.count_same(**changes), same)
 
-    def test_breadths_are_never_mixed_up(self):
-        plain = describe(target="/plots/7")
-        self.assertEqual(len({name[0] for name in plain}), 3)
+    def test_scopes_have_different_first_letters(self):
+        fingerprints = build_fingerprints(target="/plots/7")
+        self.assertEqual(len({name[0] for name in fingerprints}), 3)
--- a/packages/hingesill-core/hingesill_core/crashes/tests/test_guard.py
+++ b/packages/hingesill-core/hingesill_core/crashes/tests/test_guard.py
@@ -1,4 +1,4 @@
-"""Tests of when a request is held back, and when it is let go."""
+"""Tests of the start and the end of quarantines."""
 
 import random
 import unittest
@@ -6,14 +6,14 @@
 from hingesill_core.crashes.guard import SOURCE_STORE, CrashGuard, QuarantineStarted
 from hingesill_core.crashes.messages import GossipItem, GossipKind
 from hingesill_core.crashes.quarantine import (
+    PROBATION_SECONDS,
     QUARANTINE_SECONDS,
     SHORT_QUARANTINE_SECONDS,
-    TRIAL_SECONDS,
     QuarantinedRequest,
 )
 
 BAD = "a-bad"
-COMPANION = "a-companion"
+UNRELATED = "a-unrelated"
 
 
 class GuardCase(unittest.TestCase):
@@ -21,167 +21,180 @@
         self.changes = []
         self.guard = CrashGuard(random.Random(1), self.changes.append)
 
-    def end(self, *endings, fingerprint=BAD):
-        """Note endings, given as endpoint and time."""
-        for endpoint, at in endings:
+    def crash(self, *crashes, fingerprint=BAD):
+        """Record crashes, given as endpoint and time."""
+        for endpoint, at in crashes:
             self.guard.record_crash((fingerprint,), endpoint, at)
 
-    def get_seconds(self, now, fingerprint=BAD):
-        """Return for how long a request is held back; 0 if it is not."""
-        held = self.guard.find_quarantine((fingerprint,), now)
-        return 0.0 if held is None else held.until - now
+    def get_quarantine_seconds(self, now, fingerprint=BAD):
+        """Return the remaining seconds of a quarantine; 0 without one."""
+        quarantined = self.guard.find_quarantine((fingerprint,), now)
+        return 0.0 if quarantined is None else quarantined.until - now
 
 
-class HoldTests(GuardCase):
-    def test_two_endings_hold_nothing_back(self):
-        self.end(("i1", 1.0), ("i2", 3.0))
-        self.assertEqual(self.get_seconds(3.0), 0.0)
+class QuarantineTests(GuardCase):
+    def test_two_crashes_start_no_quarantine(self):
+        self.crash(("i1", 1.0), ("i2", 3.0))
+        self.assertEqual(self.get_quarantine_seconds(3.0), 0.0)
 
-    def test_three_of_one_event_hold_it_back_for_a_moment(self):
-        self.end(("i1", 1.0), ("i2", 1.1), ("i3", 1.2))
-        self.assertAlmostEqual(self.get_seconds(1.2), SHORT_QUARANTINE_SECONDS)
-        self.assertEqual(self.get_seconds(1.2 + SHORT_QUARANTINE_SECONDS), 0.0)
+    def test_three_crashes_of_one_event_start_a_provisional_quarantine(self):
+        self.crash(("i1", 1.0), ("i2", 1.1), ("i3", 1.2))
+        self.assertAlmostEqual(
+            self.get_quarantine_seconds(1.2), SHORT_QUARANTINE_SECONDS
+        )
+        self.assertEqual(
+            self.get_quarantine_seconds(1.2 + SHORT_QUARANTINE_SECONDS), 0.0
+        )
 
-    def test_a_further_one_after_that_holds_it_back_for_long(self):
-        self.end(("i1", 1.0), ("i2", 1.1), ("i3", 1.2), ("i4", 2.5))
-        self.assertEqual(self.get_seconds(2.5), QUARANTINE_SECONDS)
+    def test_further_crash_confirms_the_quarantine(self):
+        self.crash(("i1", 1.0), ("i2", 1.1), ("i3", 1.2), ("i4", 2.5))
+        self.assertEqual(self.get_quarantine_seconds(2.5), QUARANTINE_SECONDS)
 
-    def test_three_of_two_events_hold_it_back_for_long(self):
-        self.end(("i1", 1.0), ("i2", 1.1), ("i1", 5.0))
-        self.assertEqual(self.get_seconds(5.0), QUARANTINE_SECONDS)
+    def test_three_crashes_of_two_events_start_a_confirmed_quarantine(self):
+        self.crash(("i1", 1.0), ("i2", 1.1), ("i1", 5.0))
+        self.assertEqual(self.get_quarantine_seconds(5.0), QUARANTINE_SECONDS)
 
     def test_many_of_one_event_do_not_hide_the_next_event(self):
-        """Ten end within half a second, which filled the memory; one more ends later.
+        """Ten endpoints crash within half a second and one more later.
 
-        The later ones were not noted: the hold stayed one of a moment, and in one of
-        six plays of a day the request was sent nine times more, 19 ended in all.
+        If the ten fill the memory of a request and later crashes are not recorded, the
+        quarantine stays provisional: in one of six simulations the request was sent
+        nine more times and 19 endpoints crashed.
         """
-        self.end(*((f"i{number}", 4.5 + number / 20) for number in range(10)))
-        self.end(("i11", 6.4))
-        self.assertGreater(self.get_seconds(6.4), 60.0)
-
-    def test_a_companion_that_cannot_be_told_from_it(self):
-        for name in (BAD, COMPANION):
-            self.end(("i1", 1.0), ("i2", 1.1), ("i3", 5.0), fingerprint=name)
-        self.assertEqual(self.get_seconds(5.0, COMPANION), SHORT_QUARANTINE_SECONDS)
-
-    def test_most_endings_around_are_not_its_own(self):
+        self.crash(*((f"i{number}", 4.5 + number / 20) for number in range(10)))
+        self.crash(("i11", 6.4))
+        self.assertGreater(self.get_quarantine_seconds(6.4), 60.0)
+
+    def test_request_with_the_same_crashes_keeps_quarantines_provisional(self):
+        for name in (BAD, UNRELATED):
+            self.crash(("i1", 1.0), ("i2", 1.1), ("i3", 5.0), fingerprint=name)
+        self.assertEqual(
+            self.get_quarantine_seconds(5.0, UNRELATED), SHORT_QUARANTINE_SECONDS
+        )
+
+    def test_most_crashes_nearby_happened_without_the_request(self):
         for number in range(8):
-            self.end((f"e{number}", 1.0 + number / 4), fingerprint=f"a-{number}")
-        self.end(("i1", 1.0), ("i2", 1.1), ("i3", 3.0))
-        self.assertEqual(self.get_seconds(3.0), SHORT_QUARANTINE_SECONDS)
-        self.end(("i4", 4.5), ("i5", 6.0))
-        self.assertEqual(self.get_seconds(6.0), QUARANTINE_SECONDS)
-
-    def test_what_is_held_back_explains_the_endings_of_others(self):
-        self.end(("i1", 1.0), ("i2", 3.0), ("i3", 5.0), ("i4", 5.1))
+            self.crash((f"e{number}", 1.0 + number / 4), fingerprint=f"a-{number}")
+        self.crash(("i1", 1.0), ("i2", 1.1), ("i3", 3.0))
+        self.assertEqual(self.get_quarantine_seconds(3.0), SHORT_QUARANTINE_SECONDS)
+        self.crash(("i4", 4.5), ("i5", 6.0))
+        self.assertEqual(self.get_quarantine_seconds(6.0), QUARANTINE_SECONDS)
+
+    def test_confirmed_quarantine_explains_the_crashes_of_others(self):
+        self.crash(("i1", 1.0), ("i2", 3.0), ("i3", 5.0), ("i4", 5.1))
         own = (("i1", 1.0), ("i2", 3.0), ("i3", 5.0))
-        self.end(*own, fingerprint=COMPANION)
-        self.assertGreater(self.get_seconds(5.0), SHORT_QUARANTINE_SECONDS)
-        self.assertEqual(self.get_seconds(5.0, COMPANION), SHORT_QUARANTINE_SECONDS)
+        self.crash(*own, fingerprint=UNRELATED)
+        self.assertGreater(self.get_quarantine_seconds(5.0), SHORT_QUARANTINE_SECONDS)
+        self.assertEqual(
+            self.get_quarantine_seconds(5.0, UNRELATED), SHORT_QUARANTINE_SECONDS
+        )
 
 
 class ReleaseTests(GuardCase):
     def setUp(self):
         super().setUp()
-        self.end(("i1", 1.0), ("i2", 1.1), ("i3", 5.0))
+        self.crash(("i1", 1.0), ("i2", 1.1), ("i3", 5.0))
 
-    def test_an_answer_lets_it_go(self):
+    def test_answer_releases_the_request(self):
         self.guard.record_answer((BAD,), 5.1)
-        self.assertEqual(self.get_seconds(5.1), 0.0)
+        self.assertEqual(self.get_quarantine_seconds(5.1), 0.0)
         self.assertEqual(self.changes[-1].reason, "answered")
 
-    def test_so_does_one_between_its_endings_that_is_told_late(self):
-        told = GossipItem(GossipKind.ANSWERED, (BAD,), age=4.0)
-        self.guard.apply_item(told, 6.0)
-        self.assertEqual(self.get_seconds(6.0), 0.0)
+    def test_late_report_of_an_answer_between_crashes_releases_the_request(self):
+        item = GossipItem(GossipKind.ANSWERED, (BAD,), age=4.0)
+        self.guard.apply_item(item, 6.0)
+        self.assertEqual(self.get_quarantine_seconds(6.0), 0.0)
 
-    def test_one_from_before_them_does_not(self):
+    def test_answer_before_the_crashes_releases_nothing(self):
         self.guard.apply_item(GossipItem(GossipKind.ANSWERED, (BAD,), age=5.5), 6.0)
-        self.assertGreater(self.get_seconds(6.0), SHORT_QUARANTINE_SECONDS)
+        self.assertGreater(self.get_quarantine_seconds(6.0), SHORT_QUARANTINE_SECONDS)
 
-    def test_the_hold_ends_by_itself_and_one_ending_renews_it(self):
+    def test_quarantine_expires_and_one_crash_renews_it(self):
         later = 5.0 + QUARANTINE_SECONDS + 1.0
-        self.guard.forget(later)
-        self.assertEqual(self.get_seconds(later), 0.0)
-        self.end(("i4", later))
-        self.assertEqual(self.get_seconds(later), 2 * QUARANTINE_SECONDS)
+        self.guard.remove_expired(later)
+        self.assertEqual(self.get_quarantine_seconds(later), 0.0)
+        self.crash(("i4", later))
+        self.assertEqual(self.get_quarantine_seconds(later), 2 * QUARANTINE_SECONDS)
 
-    def test_nothing_is_left_after_the_trial(self):
-        self.guard.forget(5.0 + QUARANTINE_SECONDS + TRIAL_SECONDS + 1.0)
+    def test_probation_expires(self):
+        self.guard.remove_expired(5.0 + QUARANTINE_SECONDS + PROBATION_SECONDS + 1.0)
         self.assertTrue(self.guard.is_idle)
 
 
-class BreadthTests(GuardCase):
-    """What of a request ends endpoints is found out."""
+class ScopeTests(GuardCase):
+    """The scope that crashes endpoints is found."""
 
-    def note(self, caller, endpoint, at):
+    def record(self, caller, endpoint, at):
         self.guard.record_crash((f"a-{caller}", "b-content"), endpoint, at)
 
-    def test_the_narrowest_that_explains_all_is_held_back(self):
+    def test_narrowest_scope_with_all_crashes_is_quarantined(self):
         for endpoint, at in (("i1", 1.0), ("i2", 1.1), ("i3", 5.0)):
-            self.note("one", endpoint, at)
-        self.assertEqual(self.get_seconds(5.0, "a-one"), QUARANTINE_SECONDS)
-        self.assertEqual(self.get_seconds(5.0, "b-content"), 0.0)
+            self.record("one", endpoint, at)
+        self.assertEqual(self.get_quarantine_seconds(5.0, "a-one"), QUARANTINE_SECONDS)
+        self.assertEqual(self.get_quarantine_seconds(5.0, "b-content"), 0.0)
 
-    def test_the_content_if_it_comes_from_many_callers(self):
+    def test_content_from_many_callers_is_quarantined(self):
         for number, at in enumerate((1.0, 3.0, 5.0)):
-            self.note(f"caller{number}", f"i{number}", at)
-        self.assertEqual(self.get_seconds(5.0, "b-content"), QUARANTINE_SECONDS)
-        held = self.guard.find_quarantine(("a-new", "b-content"), 5.0)
-        self.assertIsNotNone(held)
-
-    def test_an_answer_to_another_caller_leaves_the_caller_held_back(self):
+            self.record(f"caller{number}", f"i{number}", at)
+        self.assertEqual(
+            self.get_quarantine_seconds(5.0, "b-content"), QUARANTINE_SECONDS
+        )
+        quarantined = self.guard.find_quarantine(("a-new", "b-content"), 5.0)
+        self.assertIsNotNone(quarantined)
+
+    def test_answer_to_another_caller_keeps_the_callers_quarantine(self):
         for endpoint, at in (("i1", 1.0), ("i2", 1.1)):
-            self.note("one", endpoint, at)
+            self.record("one", endpoint, at)
         self.guard.record_answer(("a-two", "b-content"), 2.0)
-        self.note("one", "i3", 5.0)
-        self.assertEqual(self.get_seconds(5.0, "a-one"), QUARANTINE_SECONDS)
-        self.assertEqual(self.get_seconds(5.0, "b-content"), 0.0)
+        self.record("one", "i3", 5.0)
+        self.assertEqual(self.get_quarantine_seconds(5.0, "a-one"), QUARANTINE_SECONDS)
+        self.assertEqual(self.get_quarantine_seconds(5.0, "b-content"), 0.0)
 
 
 class RetryTests(GuardCase):
-    def test_a_third_endpoint_is_not_tried_before_the_second_was_looked_at(self):
+    def test_no_third_send_while_the_check_of_the_second_endpoint_runs(self):
         self.assertTrue(self.guard.may_send_again((BAD,), 1.0, pending=1))
-        self.end(("i1", 1.0), ("i2", 1.1))
+        self.crash(("i1", 1.0), ("i2", 1.1))
         self.assertFalse(self.guard.may_send_again((BAD,), 1.1, pending=1))
 
-    def test_one_on_trial_is_sent_once(self):
-        self.end(("i1", 1.0), ("i2", 1.1), ("i3", 1.2))
+    def test_request_on_probation_is_sent_once(self):
+        self.crash(("i1", 1.0), ("i2", 1.1), ("i3", 1.2))
         self.assertFalse(self.guard.may_send_again((BAD,), 2.5, pending=1))
 
 
 class FleetTests(GuardCase):
-    """What one node tells, another one takes."""
+    """Items of one node are applied by another."""
 
-    def tell(self, other, now):
-        for told in self.guard.list_items(now):
-            other.apply_item(told, now)
+    def send_items(self, other, now):
+        for item in self.guard.list_items(now):
+            other.apply_item(item, now)
 
-    def test_endings_of_several_nodes_are_added_up(self):
+    def test_crashes_of_several_nodes_are_added_up(self):
         other = CrashGuard(random.Random(2))
         other.record_crash((BAD,), "i3", 5.0)
-        self.end(("i1", 1.0), ("i2", 1.1))
-        self.tell(other, 5.5)
+        self.crash(("i1", 1.0), ("i2", 1.1))
+        self.send_items(other, 5.5)
         self.assertIsNotNone(other.find_quarantine((BAD,), 5.5))
 
-    def test_one_that_starts_is_told_what_is_held_back(self):
-        self.end(("i1", 1.0), ("i2", 1.1), ("i3", 5.0))
+    def test_starting_node_receives_quarantines(self):
+        self.crash(("i1", 1.0), ("i2", 1.1), ("i3", 5.0))
         other = CrashGuard(random.Random(2))
-        self.tell(other, 10.0)
-        held = other.find_quarantine((BAD,), 10.0)
-        self.assertAlmostEqual(held.until, 5.0 + QUARANTINE_SECONDS)
+        self.send_items(other, 10.0)
+        quarantined = other.find_quarantine((BAD,), 10.0)
+        self.assertAlmostEqual(quarantined.until, 5.0 + QUARANTINE_SECONDS)
 
-    def test_what_the_store_tells_is_not_passed_on(self):
+    def test_quarantine_from_the_store_is_not_gossiped(self):
         request = QuarantinedRequest(1.0, 500.0, 1)
-        self.guard.adopt(BAD, request, SOURCE_STORE)
-        self.assertEqual(self.get_seconds(100.0), 400.0)
+        self.guard.apply_quarantine(BAD, request, SOURCE_STORE)
+        self.assertEqual(self.get_quarantine_seconds(100.0), 400.0)
         self.assertFalse(self.guard.gossip)
         self.assertIsInstance(self.changes[-1], QuarantineStarted)
 
-    def test_an_older_word_does_not_undo_an_answer(self):
-        self.end(("i1", 1.0), ("i2", 1.1), ("i3", 5.0))
+    def test_older_quarantine_does_not_undo_an_answer(self):
+        self.crash(("i1", 1.0), ("i2", 1.1), ("i3", 5.0))
         self.guard.record_answer((BAD,), 6.0)
-        self.guard.adopt(BAD, QuarantinedRequest(1.0, 500.0, 1), SOURCE_STORE)
-        self.assertEqual(self.get_seconds(7.0), 0.0)
+        self.guard.apply_quarantine(
+            BAD, QuarantinedRequest(1.0, 500.0, 1), SOURCE_STORE
+        )
+        self.assertEqual(self.get_quarantine_seconds(7.0), 0.0)
         self.assertTrue(self.guard.is_cleared(BAD))
--- a/packages/hingesill-node/hingesill_node/crashes/__init__.py
+++ b/packages/hingesill-node/hingesill_node/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Finding out that endpoints ended under a request, and telling other nodes."""
+"""Detects endpoint crashes under a request and reports them to other nodes."""
--- a/packages/hingesill-node/hingesill_node/crashes/crashchecks.py
+++ b/packages/hingesill-node/hingesill_node/crashes/crashchecks.py
@@ -1,4 +1,4 @@
-"""Whether an endpoint that gave no answer has ended, or only broke the answer off."""
+"""Checks whether an endpoint that gave no answer has crashed."""
 
 import eventlet
 
@@ -7,25 +7,25 @@
 
 __all__ = ["CrashChecks"]
 
-# A process that ends may close its connections a moment before it stops to listen.
-PAUSE_SECONDS = 0.01
+# A terminating process may close its connections a moment before its listening socket.
+CONNECT_DELAY_SECONDS = 0.01
 
 
 class CrashChecks:
-    """Connects to endpoints whose answers were lost, and tells of those that ended.
+    """Connects to endpoints whose answers were lost and reports those that crashed.
 
     Parameters
     ----------
     report : callable
-        Called with an endpoint's identity and the fingerprints of the requests that
-        were there, once it is certain that nothing listens any more.
+        Called with an endpoint's identity and the fingerprints of its requests once a
+        connection has failed.
 
     Notes
     -----
-    Where an endpoint closed a connection and then takes no other, it has ended; one
-    that only broke off an answer, or had too many connections, still listens. No
-    question is asked, so that a check takes no slot and none of the probe budget.
-    Requests that were lost at the same moment share one connection.
+    An endpoint that closed a connection and then accepts no other has crashed; one that
+    only cut off an answer, or had too many connections, still listens. No load query is
+    sent, so a check needs neither a slot nor the probe budget. Requests that were lost
+    at the same time share one check.
     """
 
     def __init__(self, report):
@@ -33,7 +33,7 @@
         self._pending = {}
 
     def begin(self, endpoint, address, fingerprints):
-        """Look at an endpoint at which a request got no answer."""
+        """Check an endpoint that gave no answer to a request."""
         requests = self._pending.get(endpoint)
         if requests is None:
             requests = self._pending[endpoint] = set()
@@ -41,28 +41,28 @@
         requests.add(fingerprints)
 
     def count_pending(self, fingerprints):
-        """Return the endpoints of which it is open if they ended under a request."""
+        """Return the number of running checks on behalf of a request."""
         return sum(fingerprints in requests for requests in self._pending.values())
 
     def _check(self, endpoint, address):
         connection = EndpointConnection(address)
         detail = ""
-        has_ended = False
-        eventlet.sleep(PAUSE_SECONDS)
+        has_crashed = False
+        eventlet.sleep(CONNECT_DELAY_SECONDS)
         try:
             connection.open()
         except ConnectFailed as error:
             detail = str(error)
-            has_ended = True
+            has_crashed = True
         finally:
             connection.close()
             requests = self._pending.pop(endpoint)
         log_event(
             Event.ENDPOINT_LOOKED_AT,
             endpoint=endpoint,
-            ended=has_ended,
+            ended=has_crashed,
             detail=detail,
             requests=sorted(requests),
         )
-        if has_ended:
+        if has_crashed:
             self._report(endpoint, requests)
--- a/packages/hingesill-node/hingesill_node/crashes/crashgossip.py
+++ b/packages/hingesill-node/hingesill_node/crashes/crashgossip.py
@@ -1,4 +1,4 @@
-"""Datagrams between nodes on requests under which endpoints ended."""
+"""Gossip between nodes on endpoint crashes and quarantined requests, by UDP."""
 
 import random
 
@@ -10,41 +10,46 @@
     MAX_GOSSIP_ITEMS,
 )
 from hingesill_core.crashes.messages import GossipMessage
-from hingesill_node.crashes.datagrams import MESSAGE_PREFIX, decode_batch, encode_batch
+from hingesill_node.crashes.datagrams import (
+    MESSAGE_PREFIX,
+    decode_message,
+    encode_message,
+)
 from hingesill_node.telemetry.events import Event, log_event
 
 __all__ = ["CrashGossip"]
 
-# A node that has just started asks others what they know, until one answers.
-ASK_SECONDS = 0.5
-MOST_ASKS = 6
-# Datagrams with which one that asks is answered, as a guard of the links.
-MOST_ANSWERS = 32
-# Nodes are told that told something themselves, unless that is older: one that was
-# entered as the store went away is not listed by the others. The second is a guard of
-# memory.
-SENDER_SECONDS = 120.0
-MOST_SENDERS = 256
-# Interval of log lines on invalid datagrams, in seconds.
-COMPLAINT_SECONDS = 5.0
+# Interval at which a node that has just started requests all items, until it has
+# received a message, and the maximum number of these requests.
+REQUEST_INTERVAL_SECONDS = 0.5
+MAX_REQUESTS = 6
+# Maximum number of datagrams that answer such a request; limits the load on the links.
+MAX_REPLY_DATAGRAMS = 32
+# Time for which nodes that sent a message are peers even if they are not listed: a node
+# that registered while the store became unavailable is not listed by the others.
+SENDER_RETENTION_SECONDS = 120.0
+# Limits the memory of the node.
+MAX_SENDERS = 256
+# Minimum interval between log lines on invalid datagrams, in seconds.
+LOG_INTERVAL_SECONDS = 5.0
 
 
 class CrashGossip:
-    """Tells other nodes and hears from them, by UDP on the node's control address.
+    """Sends and receives gossip messages, by UDP on the node's control address.
 
     Parameters
     ----------
     guard : RequestGuard
-        Has the news and takes what is heard.
+        Provides the items to send and applies the received ones.
     list_peers : callable
         Returns IP number and port of the control address of each other node.
     counters : Counters
-        Gets ``gossip``.
+        Counts messages as ``gossip``.
 
     Notes
     -----
-    Gossip needs neither the store nor a relay, and no node more than others; a datagram
-    that is lost is made up for by the others. A node that has no news sends nothing.
+    Gossip depends neither on the store nor on a relay or any other single node; other
+    datagrams make up for a lost one. A node without pending items sends nothing.
     """
 
     def __init__(self, guard, list_peers, counters):
@@ -53,96 +58,98 @@
         self.counters = counters
         self._send_datagram = None
         self._senders = {}
-        self._complain_from = 0.0
+        self._next_log_at = 0.0
 
     def start(self, port):
-        """Begin with the DatagramPort of the node."""
-        port.register(MESSAGE_PREFIX, self.take)
+        """Start sending and receiving on the DatagramPort of the node."""
+        port.register(MESSAGE_PREFIX, self.handle_datagram)
         self._send_datagram = port.send
-        eventlet.spawn(self._tell)
-        eventlet.spawn(self._ask)
+        eventlet.spawn(self._run_rounds)
+        eventlet.spawn(self._request_items)
 
-    def take(self, data, sender):
-        """Take a datagram; one that is not understood is dropped whole."""
+    def handle_datagram(self, data, sender):
+        """Apply the items of a datagram; drop an invalid one as a whole."""
         try:
-            batch = decode_batch(data)
+            message = decode_message(data)
         except ValueError as error:
             self.counters.add("gossip", "invalid")
-            self._complain(str(error), sender)
+            self._log_invalid(str(error), sender)
             return
         self.counters.add("gossip", "heard")
         now = self.guard.clock()
-        self._note_sender(sender, now)
-        for told in batch.told:
-            self.guard.decisions.apply_item(told, now)
-        if batch.asks:
-            self._answer(sender, now)
-
-    def _note_sender(self, sender, now):
-        """Remember who told something, the newest ones if there are many."""
+        self._record_sender(sender, now)
+        for item in message.items:
+            self.guard.decisions.apply_item(item, now)
+        if message.wants_all:
+            self._send_all(sender, now)
+
+    def _record_sender(self, sender, now):
+        """Record the sender of a message; drop the oldest one if there are too many."""
         self._senders.pop(sender, None)
         self._senders[sender] = now
-        if len(self._senders) > MOST_SENDERS:
+        if len(self._senders) > MAX_SENDERS:
             del self._senders[next(iter(self._senders))]
 
     def find_peers(self, now):
-        """Return the addresses of all nodes that are listed or have told something."""
-        oldest = now - SENDER_SECONDS
-        told = {sender for sender, at in self._senders.items() if at > oldest}
-        return sorted(told.union(self.list_peers()))
+        """Return the addresses of all nodes that are listed or recently sent."""
+        oldest = now - SENDER_RETENTION_SECONDS
+        recent = {sender for sender, at in self._senders.items() if at > oldest}
+        return sorted(recent.union(self.list_peers()))
 
-    def _complain(self, detail, sender):
+    def _log_invalid(self, detail, sender):
         now = self.guard.clock()
-        if now < self._complain_from:
+        if now < self._next_log_at:
             return
-        self._complain_from = now + COMPLAINT_SECONDS
+        self._next_log_at = now + LOG_INTERVAL_SECONDS
         log_event(Event.GOSSIP_INVALID, detail=detail, sender=format_sender(sender))
 
-    def _answer(self, sender, now):
-        """Tell one that asks all that is known, in one datagram at least."""
-        told = self.guard.decisions.list_items(now)
-        for begin in range(0, max(1, len(told)), MAX_GOSSIP_ITEMS)[:MOST_ANSWERS]:
+    def _send_all(self, sender, now):
+        """Send all items to a node that requested them, in at least one datagram."""
+        items = self.guard.decisions.list_items(now)
+        for begin in range(0, max(1, len(items)), MAX_GOSSIP_ITEMS)[
+            :MAX_REPLY_DATAGRAMS
+        ]:
             self._send(
-                sender, GossipMessage(tuple(told[begin : begin + MAX_GOSSIP_ITEMS]))
+                sender, GossipMessage(tuple(items[begin : begin + MAX_GOSSIP_ITEMS]))
             )
 
-    def _tell(self):
+    def _run_rounds(self):
         while True:
             eventlet.sleep(GOSSIP_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
             decisions = self.guard.decisions
             if decisions.is_idle:
                 continue
             now = self.guard.clock()
-            decisions.forget(now)
+            decisions.remove_expired(now)
             if decisions.gossip:
-                self._tell_round(now)
+                self._run_round(now)
 
-    def _tell_round(self, now):
+    def _run_round(self, now):
         peers = self.find_peers(now)
         self.guard.decisions.nodes = len(peers) + 1
-        chosen, told = self.guard.decisions.start_round(peers, now)
-        if not told:
+        chosen, items = self.guard.decisions.start_round(peers, now)
+        if not items:
             return
-        batch = GossipMessage(tuple(told))
+        message = GossipMessage(tuple(items))
         for peer in chosen:
-            self._send(peer, batch)
+            self._send(peer, message)
 
-    def _ask(self):
-        """Ask others what they know, until one has answered."""
-        for _ in range(MOST_ASKS):
-            eventlet.sleep(ASK_SECONDS * random.uniform(0.8, 1.2))
+    def _request_items(self):
+        """Request all items of random peers, until one of them has answered."""
+        for _ in range(MAX_REQUESTS):
+            eventlet.sleep(REQUEST_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
             if self._senders:
                 return
             peers = self.find_peers(self.guard.clock())
             for peer in random.sample(peers, min(GOSSIP_FAN_OUT, len(peers))):
-                self._send(peer, GossipMessage(asks=True))
+                self._send(peer, GossipMessage(wants_all=True))
 
-    def _send(self, peer, batch):
+    def _send(self, peer, message):
         self.counters.add("gossip", "told")
         try:
-            self._send_datagram(encode_batch(batch), peer)
+            self._send_datagram(encode_message(message), peer)
         except OSError:
-            # A datagram that cannot be sent is as good as lost.
+            # Handled like a datagram that is lost on the way.
             self.counters.add("gossip", "failed")
 
 
--- a/packages/hingesill-node/hingesill_node/crashes/datagrams.py
+++ b/packages/hingesill-node/hingesill_node/crashes/datagrams.py
@@ -1,73 +1,73 @@
-"""Datagrams between nodes on requests under which endpoints ended, and their checks."""
+"""Encodes, decodes and validates gossip datagrams on endpoint crashes."""
 
 from msgspec import DecodeError
 from msgspec.msgpack import Decoder, encode
 
-from hingesill_core.crashes.fingerprint import Breadth
-from hingesill_core.crashes.history import MEMORY_SECONDS
+from hingesill_core.crashes.fingerprint import FingerprintScope
+from hingesill_core.crashes.history import CRASH_RETENTION_SECONDS
 from hingesill_core.crashes.messages import GossipKind, GossipMessage
 from hingesill_core.crashes.quarantine import (
     MAX_QUARANTINE_SECONDS,
     MAX_QUARANTINED_REQUESTS,
 )
 
-__all__ = ["MESSAGE_PREFIX", "decode_batch", "encode_batch", "is_batch"]
+__all__ = ["MESSAGE_PREFIX", "decode_message", "encode_message", "is_gossip_message"]
 
-LONGEST_FINGERPRINT = 64
-LONGEST_ENDPOINT = 128
+MAX_FINGERPRINT_LENGTH = 64
+MAX_ENDPOINT_LENGTH = 128
 
-BATCHES = Decoder(GossipMessage)
-# With what each one begins; other datagrams of nodes begin with something else.
+DECODER = Decoder(GossipMessage)
+# First byte of each gossip message; other datagrams between nodes have another one.
 MESSAGE_PREFIX = encode(GossipMessage())[:1]
 
 
-def encode_batch(batch):
-    """Return the bytes of a Batch."""
-    return encode(batch)
+def encode_message(message):
+    """Return the bytes of a GossipMessage."""
+    return encode(message)
 
 
-def decode_batch(data):
-    """Return the Batch that a datagram holds.
+def decode_message(data):
+    """Return the GossipMessage of a datagram.
 
     Raises
     ------
     ValueError
-        If it holds none, or figures beyond all bounds.
+        If the datagram is not a GossipMessage or a value is out of range.
     """
     try:
-        batch = BATCHES.decode(data)
+        message = DECODER.decode(data)
     except (DecodeError, RecursionError) as error:
-        raise ValueError(f"not a batch: {error}") from error
-    for told in batch.told:
-        check_told(told)
-    return batch
-
-
-def check_told(told):
-    """Raise ValueError for news that no node of this project tells."""
-    if not 0 < len(told.fingerprints) <= len(Breadth):
-        raise ValueError(f"{len(told.fingerprints)} fingerprints")
-    for fingerprint in told.fingerprints:
-        if not 0 < len(fingerprint) <= LONGEST_FINGERPRINT:
-            raise ValueError(f"a fingerprint of {len(fingerprint)} characters")
-    if len(told.endpoint) > LONGEST_ENDPOINT:
-        raise ValueError(f"an identity of {len(told.endpoint)} characters")
-    if not 0.0 <= told.age <= MEMORY_SECONDS + MAX_QUARANTINE_SECONDS:
-        raise ValueError(f"an age of {told.age} s")
-    if told.kind is GossipKind.ENDED and not told.endpoint:
-        raise ValueError("an ending without an endpoint")
-    if told.kind is GossipKind.HELD:
-        check_held(told)
-
-
-def check_held(told):
-    """Raise ValueError for a hold that no node of this project begins."""
-    if not 0.0 < told.left <= MAX_QUARANTINE_SECONDS:
-        raise ValueError(f"a hold of {told.left} s")
-    if not 0 < told.times <= MAX_QUARANTINED_REQUESTS:
-        raise ValueError(f"a request that was held back {told.times} times")
-
-
-def is_batch(data):
-    """Tell whether a datagram is meant to be a Batch, by its first byte."""
+        raise ValueError(f"not a gossip message: {error}") from error
+    for item in message.items:
+        check_item(item)
+    return message
+
+
+def check_item(item):
+    """Raise ValueError if a value of a gossip item is out of range."""
+    if not 0 < len(item.fingerprints) <= len(FingerprintScope):
+        raise ValueError(f"gossip item has {len(item.fingerprints)} fingerprints")
+    for fingerprint in item.fingerprints:
+        if not 0 < len(fingerprint) <= MAX_FINGERPRINT_LENGTH:
+            raise ValueError(f"fingerprint has {len(fingerprint)} characters")
+    if len(item.endpoint) > MAX_ENDPOINT_LENGTH:
+        raise ValueError(f"endpoint identity has {len(item.endpoint)} characters")
+    if not 0.0 <= item.age <= CRASH_RETENTION_SECONDS + MAX_QUARANTINE_SECONDS:
+        raise ValueError(f"age of {item.age} s is out of range")
+    if item.kind is GossipKind.CRASHED and not item.endpoint:
+        raise ValueError("crash report has no endpoint")
+    if item.kind is GossipKind.QUARANTINED:
+        check_quarantine(item)
+
+
+def check_quarantine(item):
+    """Raise ValueError if the duration or count of a quarantine is out of range."""
+    if not 0.0 < item.left <= MAX_QUARANTINE_SECONDS:
+        raise ValueError(f"remaining quarantine of {item.left} s is out of range")
+    if not 0 < item.times <= MAX_QUARANTINED_REQUESTS:
+        raise ValueError(f"quarantine count of {item.times} is out of range")
+
+
+def is_gossip_message(data):
+    """Return whether the first byte of a datagram is that of a GossipMessage."""
     return data[:1] == MESSAGE_PREFIX
--- a/packages/hingesill-node/hingesill_node/crashes/quarantinestore.py
+++ b/packages/hingesill-node/hingesill_node/crashes/quarantinestore.py
@@ -1,4 +1,4 @@
-"""Keeps in the store which requests are held back, for nodes that start."""
+"""Keeps confirmed quarantines in the store, for nodes that start later."""
 
 import random
 
@@ -13,41 +13,45 @@
 
 __all__ = ["QuarantineStore"]
 
-# How often it is looked at whether there is something to write; this costs no call.
-REVIEW_SECONDS = 0.25
-# A relay writes at once, any other node only if that did not happen: it may be cut from
-# all relays. The hold must be known to nodes that are cut from all others but reach the
-# store within 3 s, and takes up to 1.5 s from the store to them.
-OTHERS_WAIT_SECONDS = 1.0
-OTHERS_SPREAD_SECONDS = 1.0
-# Between two tries at the same request: what was written is listed within a second.
+# Interval of the checks whether a record must be written; a check makes no store call.
+CHECK_INTERVAL_SECONDS = 0.25
+# Relays write at once; other nodes write after this delay, plus a random part, if no
+# relay has, as they may be cut off from all relays. Nodes that are cut off from all
+# others but reach the store must know a quarantine within 3 s, of which it takes up to
+# 1.5 s to get from the store to them.
+NON_RELAY_DELAY_SECONDS = 1.0
+NON_RELAY_JITTER_SECONDS = 1.0
+# Interval between two writes of the same record: a written record is listed within a
+# second.
 RETRY_SECONDS = 2.0
-# A hold that is over so soon is not worth a call.
-LEAST_SECONDS = 5.0
+# A quarantine with less time left is not worth a store call.
+MIN_REMAINING_SECONDS = 5.0
 
 
 class QuarantineStore:
-    """Writes holds of this node into the store, and takes those of others from there.
+    """Writes this node's quarantines to the store and applies those of other nodes.
 
     Parameters
     ----------
     source : DirectorySource
         The store.
     directory : Directory
-        Lists what is kept.
+        Lists the stored records.
     guard : RequestGuard
-        What is held back here.
+        Has the quarantines of this node.
     may_write_first : callable
-        Tells whether this node is one of the few that write at once.
+        Returns whether this node is one of the few that write at once.
     is_store_up : callable
-        Tells whether the store answered when it was last called.
+        Returns whether the last store call was answered.
     day_clock : callable
-        Unix seconds, by which a node that starts knows how long a hold still lasts.
+        Returns Unix seconds, from which a starting node computes how long a quarantine
+        still lasts.
 
     Notes
     -----
-    Two calls a hold, by one node. Gossip tells the nodes that run; the store those that
-    start when all were stopped, or that no node reaches.
+    A quarantine costs two store calls, both by one node. Gossip informs running nodes;
+    the store informs nodes that start after all were stopped, or that no other node
+    reaches.
     """
 
     def __init__(
@@ -65,79 +69,94 @@
         self.may_write_first = may_write_first
         self.is_store_up = is_store_up
         self.day_clock = day_clock
-        self._write_from = {}
-        self._remove_from = {}
+        self._next_write_at = {}
+        self._next_delete_at = {}
 
     def run(self):
-        """Work until the process ends."""
+        """Write and delete records until the process ends."""
         while True:
-            eventlet.sleep(REVIEW_SECONDS * random.uniform(0.7, 1.3))
+            eventlet.sleep(CHECK_INTERVAL_SECONDS * random.uniform(0.7, 1.3))
             if not self.guard.decisions.is_idle and self.is_store_up():
-                self.review()
+                self.synchronize()
 
-    def review(self):
-        """Write what is held back here and not listed, if it is this node's turn."""
+    def synchronize(self):
+        """Delete cleared records and write missing ones, if this node is due."""
         now = self.guard.clock()
-        self._remove_cleared(now)
-        held = self.guard.decisions.quarantine.list_long(now)
-        self._write_from = {n: t for n, t in self._write_from.items() if n in held}
-        for fingerprint, request in held.items():
+        self._delete_cleared(now)
+        active = self.guard.decisions.quarantine.list_active_confirmed(now)
+        self._next_write_at = {
+            n: t for n, t in self._next_write_at.items() if n in active
+        }
+        for fingerprint, request in active.items():
             if self._is_due(fingerprint, request, now):
-                self._write_from[fingerprint] = now + RETRY_SECONDS
+                self._next_write_at[fingerprint] = now + RETRY_SECONDS
                 self._write(fingerprint, request, now)
 
     def _is_due(self, fingerprint, request, now):
-        """Tell whether a hold is to be written now by this node."""
+        """Return whether this node has to write a quarantine now."""
         listed = self.directory.held.get(fingerprint)
         if listed is not None and listed.times >= request.times:
             return False
-        if request.until - now < LEAST_SECONDS:
+        if request.until - now < MIN_REMAINING_SECONDS:
             return False
-        if fingerprint not in self._write_from:
-            wait = 0.0
+        if fingerprint not in self._next_write_at:
+            delay = 0.0
             if not self.may_write_first():
-                wait = OTHERS_WAIT_SECONDS + OTHERS_SPREAD_SECONDS * random.random()
-            self._write_from[fingerprint] = now + wait
-        return now >= self._write_from[fingerprint]
+                delay = (
+                    NON_RELAY_DELAY_SECONDS + NON_RELAY_JITTER_SECONDS * random.random()
+                )
+            self._next_write_at[fingerprint] = now + delay
+        return now >= self._next_write_at[fingerprint]
 
     def _write(self, fingerprint, request, now):
-        day = self.day_clock() - now
+        day_offset = self.day_clock() - now
         record = QuarantineRecord(
-            fingerprint, day + request.since, day + request.until, request.times
+            fingerprint,
+            day_offset + request.since,
+            day_offset + request.until,
+            request.times,
+        )
+        log_failure(
+            fingerprint, self.source.save_quarantine(record, request.until - now)
         )
-        note_kept(fingerprint, self.source.save_quarantine(record, request.until - now))
 
-    def _remove_cleared(self, now):
-        """Let go in the store what was answered since it was held back."""
+    def _delete_cleared(self, now):
+        """Delete the stored quarantines of requests that were answered since."""
         if not self.may_write_first():
             return
-        held = self.directory.held
-        self._remove_from = {n: t for n, t in self._remove_from.items() if n in held}
-        for fingerprint in held:
-            is_tried = now < self._remove_from.get(fingerprint, now)
+        listed = self.directory.held
+        self._next_delete_at = {
+            n: t for n, t in self._next_delete_at.items() if n in listed
+        }
+        for fingerprint in listed:
+            is_tried = now < self._next_delete_at.get(fingerprint, now)
             if not is_tried and self.guard.decisions.is_cleared(fingerprint):
-                self._remove_from[fingerprint] = now + RETRY_SECONDS
-                note_kept(fingerprint, self.source.delete_quarantine(fingerprint))
+                self._next_delete_at[fingerprint] = now + RETRY_SECONDS
+                log_failure(fingerprint, self.source.delete_quarantine(fingerprint))
 
-    def take(self, held):
-        """Hold back what the store lists.
+    def take(self, listed):
+        """Apply the quarantines that the store lists.
 
         Parameters
         ----------
-        held : dict
-            QuarantineRecord by fingerprint. What is missing is not let go: its lease
-            may have run out with the store, and each hold ends by itself.
+        listed : dict
+            QuarantineRecord by fingerprint. A missing record releases nothing: its
+            lease may have been lost with the store, and each quarantine expires anyway.
         """
         now = self.guard.clock()
-        day = self.day_clock() - now
-        for fingerprint, record in held.items():
-            until = min(record.until - day, now + MAX_QUARANTINE_SECONDS)
+        day_offset = self.day_clock() - now
+        for fingerprint, record in listed.items():
+            until = min(record.until - day_offset, now + MAX_QUARANTINE_SECONDS)
             if until > now:
-                request = QuarantinedRequest(record.since - day, until, record.times)
-                self.guard.decisions.adopt(fingerprint, request, SOURCE_STORE)
+                request = QuarantinedRequest(
+                    record.since - day_offset, until, record.times
+                )
+                self.guard.decisions.apply_quarantine(
+                    fingerprint, request, SOURCE_STORE
+                )
 
 
-def note_kept(fingerprint, answer):
-    """Write a line if the store did not take a change of what it keeps."""
+def log_failure(fingerprint, answer):
+    """Log that the store did not write or delete a record."""
     if isinstance(answer, StoreFailure):
         log_event(Event.HOLD_NOT_KEPT, fingerprint=fingerprint, detail=answer.reason)
--- a/packages/hingesill-node/hingesill_node/crashes/tests/test_quarantinestore.py
+++ b/packages/hingesill-node/hingesill_node/crashes/tests/test_quarantinestore.py
@@ -1,4 +1,4 @@
-"""Tests of holds that are kept in the store."""
+"""Tests of quarantines that are kept in the store."""
 
 import unittest
 from types import SimpleNamespace
@@ -7,7 +7,7 @@
 from hingesill_core.discovery.records import QuarantineRecord
 from hingesill_core.store import StoreFailure
 from hingesill_node.crashes.quarantinestore import (
-    OTHERS_WAIT_SECONDS,
+    NON_RELAY_DELAY_SECONDS,
     RETRY_SECONDS,
     QuarantineStore,
 )
@@ -18,32 +18,32 @@
 
 
 class RecordingStore:
-    """Notes what is written."""
+    """Records writes and deletions."""
 
     def __init__(self):
-        self.held = []
-        self.let_gone = []
+        self.saved = []
+        self.deleted = []
         self.answer = None
 
     def save_quarantine(self, record, seconds):
-        self.held.append((record, seconds))
+        self.saved.append((record, seconds))
         return self.answer
 
     def delete_quarantine(self, fingerprint):
-        self.let_gone.append(fingerprint)
+        self.deleted.append(fingerprint)
         return self.answer
 
 
-class HoldStoreTests(unittest.TestCase):
+class QuarantineStoreTests(unittest.TestCase):
     def setUp(self):
         self.now = 100.0
         self.is_relay = True
         self.store = RecordingStore()
         self.directory = SimpleNamespace(held={})
         self.guard = RequestGuard(clock=lambda: self.now)
-        self.holds = self.build_holds(self.guard)
+        self.quarantine_store = self.build_quarantine_store(self.guard)
 
-    def build_holds(self, guard):
+    def build_quarantine_store(self, guard):
         return QuarantineStore(
             self.store,
             self.directory,
@@ -53,65 +53,65 @@
             lambda: DAY + self.now,
         )
 
-    def end(self, *times):
+    def record_crashes(self, *times):
         for number, at in enumerate(times):
             self.guard.decisions.record_crash(BAD, f"i{number}", at)
 
-    def save_quarantine(self):
-        self.end(97.0, 98.5, 100.0)
+    def confirm_quarantine(self):
+        self.record_crashes(97.0, 98.5, 100.0)
 
-    def test_a_relay_writes_a_long_hold_at_once(self):
-        self.save_quarantine()
-        self.holds.review()
-        ((record, seconds),) = self.store.held
+    def test_relay_writes_confirmed_quarantine_at_once(self):
+        self.confirm_quarantine()
+        self.quarantine_store.synchronize()
+        ((record, seconds),) = self.store.saved
         self.assertEqual((record.fingerprint, record.times), ("a1", 1))
         self.assertEqual(record.until, DAY + self.now + QUARANTINE_SECONDS)
         self.assertEqual(seconds, QUARANTINE_SECONDS)
 
-    def test_a_short_one_is_not_written(self):
-        self.end(99.8, 99.9, 100.0)
-        self.holds.review()
-        self.assertEqual(self.store.held, [])
+    def test_provisional_quarantine_is_not_written(self):
+        self.record_crashes(99.8, 99.9, 100.0)
+        self.quarantine_store.synchronize()
+        self.assertEqual(self.store.saved, [])
 
-    def test_another_node_writes_if_no_relay_did(self):
+    def test_other_node_writes_if_no_relay_did(self):
         self.is_relay = False
-        self.save_quarantine()
-        self.holds.review()
-        self.assertEqual(self.store.held, [])
-        self.now += 2 * OTHERS_WAIT_SECONDS + 0.1
-        self.holds.review()
-        self.assertEqual(len(self.store.held), 1)
-
-    def test_one_that_is_listed_is_not_written_again(self):
-        self.save_quarantine()
+        self.confirm_quarantine()
+        self.quarantine_store.synchronize()
+        self.assertEqual(self.store.saved, [])
+        self.now += 2 * NON_RELAY_DELAY_SECONDS + 0.1
+        self.quarantine_store.synchronize()
+        self.assertEqual(len(self.store.saved), 1)
+
+    def test_listed_quarantine_is_not_written_again(self):
+        self.confirm_quarantine()
         self.directory.held = {"a1": QuarantineRecord("a1", DAY, DAY + 700.0, 1)}
-        self.holds.review()
-        self.assertEqual(self.store.held, [])
+        self.quarantine_store.synchronize()
+        self.assertEqual(self.store.saved, [])
 
-    def test_one_that_failed_is_written_again_later(self):
+    def test_failed_write_is_repeated_later(self):
         self.store.answer = StoreFailure("status 503")
-        self.save_quarantine()
+        self.confirm_quarantine()
         for _ in range(3):
-            self.holds.review()
-        self.assertEqual(len(self.store.held), 1)
+            self.quarantine_store.synchronize()
+        self.assertEqual(len(self.store.saved), 1)
         self.now += RETRY_SECONDS
-        self.holds.review()
-        self.assertEqual(len(self.store.held), 2)
+        self.quarantine_store.synchronize()
+        self.assertEqual(len(self.store.saved), 2)
 
-    def test_one_that_was_answered_is_removed(self):
-        self.save_quarantine()
+    def test_quarantine_is_deleted_after_an_answer(self):
+        self.confirm_quarantine()
         self.directory.held = {"a1": QuarantineRecord("a1", DAY + 97.0, DAY + 700.0, 1)}
         self.guard.decisions.record_answer(BAD, 101.0)
-        self.holds.review()
-        self.assertEqual(self.store.let_gone, ["a1"])
+        self.quarantine_store.synchronize()
+        self.assertEqual(self.store.deleted, ["a1"])
 
-    def test_a_node_that_starts_takes_what_is_listed(self):
+    def test_starting_node_applies_listed_quarantines(self):
         guard = RequestGuard(clock=lambda: self.now)
-        holds = self.build_holds(guard)
-        holds.take({"a1": QuarantineRecord("a1", DAY, DAY + self.now + 50.0, 1)})
-        held = guard.decisions.find_quarantine(BAD, self.now)
-        self.assertAlmostEqual(held.until, self.now + 50.0, places=3)
+        store = self.build_quarantine_store(guard)
+        store.take({"a1": QuarantineRecord("a1", DAY, DAY + self.now + 50.0, 1)})
+        quarantined = guard.decisions.find_quarantine(BAD, self.now)
+        self.assertAlmostEqual(quarantined.until, self.now + 50.0, places=3)
 
-    def test_a_listed_one_whose_time_is_over_holds_nothing_back(self):
-        self.holds.take({"a1": QuarantineRecord("a1", DAY, DAY + 99.0, 1)})
+    def test_expired_listed_quarantine_is_not_applied(self):
+        self.quarantine_store.take({"a1": QuarantineRecord("a1", DAY, DAY + 99.0, 1)})
         self.assertIsNone(self.guard.decisions.find_quarantine(BAD, self.now))
