--- a/packages/hingesill-core/hingesill_core/membership/__init__.py
+++ b/packages/hingesill-core/hingesill_core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who else is there, and who does what without any agreement."""
+"""Members of the fleet and the roles that each node computes for itself."""
--- a/packages/hingesill-core/hingesill_core/membership/drainnotices.py
+++ b/packages/hingesill-core/hingesill_core/membership/drainnotices.py
@@ -1,25 +1,25 @@
-"""Signs that an endpoint is leaving, as they spread between nodes."""
+"""Notices that an endpoint is leaving, which nodes exchange."""
 
 from msgspec import Struct
 
 __all__ = ["DrainNotice", "DrainNoticeTable"]
 
-MAX_SIGNS = 10_000
-LONGEST_HOLD = 3600.0
+MAX_NOTICES = 10_000
+MAX_NOTICE_SECONDS = 3600.0
 
 
 class DrainNotice(Struct, frozen=True):
-    """One endpoint is leaving.
+    """Notice that one endpoint is leaving.
 
     Parameters
     ----------
     endpoint : str
-        Its address.
+        Address of the endpoint.
     sequence : int
-        Milliseconds of the origin's wall clock; a larger one replaces a smaller.
+        Milliseconds of the origin's wall clock; the larger of two replaces the other.
     until : float
-        Until when it holds, in this node's monotonic seconds. A time that has
-        passed takes the sign back.
+        Time until which the notice is valid, in this node's monotonic seconds. A time
+        that has passed withdraws the notice.
     """
 
     endpoint: str
@@ -28,51 +28,53 @@
 
 
 class DrainNoticeTable:
-    """The newest sign of each endpoint.
+    """The newest notice of each endpoint.
 
     Notes
     -----
-    Wall clocks only order the signs of one endpoint among each other. A wrong
-    order ends with the sign's own time, which is bounded.
+    Wall clocks only order the notices of the same endpoint. An error in the order lasts
+    no longer than the notice itself, whose duration is limited.
     """
 
     def __init__(self):
-        self._signs = {}
+        self._notices = {}
         self.generation = 0
 
-    def take(self, sign, now):
-        """Take a sign; return whether it was news."""
-        held = self._signs.get(sign.endpoint)
-        if held is not None and held.sequence >= sign.sequence:
+    def take(self, notice, now):
+        """Apply a notice; return whether it was newer than the known one."""
+        known = self._notices.get(notice.endpoint)
+        if known is not None and known.sequence >= notice.sequence:
             return False
-        if held is None and len(self._signs) >= MAX_SIGNS:
-            self.forget_ended(now)
-        until = min(sign.until, now + LONGEST_HOLD)
-        self._signs[sign.endpoint] = DrainNotice(sign.endpoint, sign.sequence, until)
+        if known is None and len(self._notices) >= MAX_NOTICES:
+            self.remove_expired(now)
+        until = min(notice.until, now + MAX_NOTICE_SECONDS)
+        self._notices[notice.endpoint] = DrainNotice(
+            notice.endpoint, notice.sequence, until
+        )
         self.generation += 1
         return True
 
-    def forget_ended(self, now):
-        """Drop the signs that ended a while ago."""
-        self._signs = {
-            endpoint: sign
-            for endpoint, sign in self._signs.items()
-            if now < sign.until + LONGEST_HOLD
+    def remove_expired(self, now):
+        """Remove the notices that expired more than `MAX_NOTICE_SECONDS` ago."""
+        self._notices = {
+            endpoint: notice
+            for endpoint, notice in self._notices.items()
+            if now < notice.until + MAX_NOTICE_SECONDS
         }
 
     def holds(self, endpoint, now, spare=0.0):
-        """Tell whether a sign holds for some seconds more."""
-        sign = self._signs.get(endpoint)
-        return sign is not None and now + spare < sign.until
+        """Return whether an endpoint's notice is valid for `spare` more seconds."""
+        notice = self._notices.get(endpoint)
+        return notice is not None and now + spare < notice.until
 
     def list_all(self):
-        """Return all signs, those that took one back included."""
-        return list(self._signs.values())
+        """Return all notices, including withdrawn ones."""
+        return list(self._notices.values())
 
     def list_until(self, now):
-        """Return until when each endpoint's sign holds, by address."""
+        """Return the time until which each endpoint's notice is valid, by address."""
         return {
-            endpoint: sign.until
-            for endpoint, sign in self._signs.items()
-            if sign.until > now
+            endpoint: notice.until
+            for endpoint, notice in self._notices.items()
+            if notice.until > now
         }
--- a/packages/hingesill-core/hingesill_core/membership/relaytree.py
+++ b/packages/hingesill-core/hingesill_core/membership/relaytree.py
@@ -1,8 +1,8 @@
-"""The tree by which changes spread: relays read the store, others read a parent.
+"""The tree that distributes changes: relays read the store, others read a parent.
 
-Every node works it out from the list it has. Two lists that differ give trees
-that differ, which does no harm: any node serves any other, and a relay too many
-costs the store one waiting watch.
+Every node computes the tree from its own list of VMs. Different lists give different
+trees, which is harmless: any node serves any other, and a surplus relay costs the store
+one waiting watch.
 """
 
 import hashlib
@@ -22,16 +22,16 @@
 
 
 class TreePosition(Struct, frozen=True):
-    """Where a node stands in the tree of its data centre.
+    """Position of a node in the tree of its data centre.
 
     Parameters
     ----------
     relay : bool
-        It watches the store itself.
+        Whether the node watches the store itself.
     parents : tuple of Vm
-        Whom to take changes from, in order of preference.
+        Nodes to get changes from, in order of preference.
     depth : int
-        Calls between the store and this node.
+        Number of calls between the store and this node.
     """
 
     relay: bool
@@ -40,45 +40,44 @@
 
 
 def compute_weight(name, key):
-    """Return the rendezvous weight of a node for a text."""
+    """Return the rendezvous weight of a node for a key."""
     text = f"{key}/{name}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big")
 
 
 def rank_by_weight(vms, text):
-    """Return VMs, the one that rendezvous hashing prefers for a text first."""
+    """Return VMs in the order in which rendezvous hashing prefers them for a text."""
     return sorted(vms, key=lambda vm: compute_weight(vm.name, text))
 
 
 def rank_nodes(vms, data_centre):
-    """Return a data centre's VMs, the most suited as a relay first.
+    """Return a data centre's VMs, the most suitable relay first.
 
     Notes
     -----
-    Nodes that do not hold everything come last: they are relays only where
-    there is no other node, and then hold everything.
+    Nodes that hold only some services come last: they are relays only if there is no
+    other node, and then hold all services.
     """
     local = [vm for vm in vms if vm.data_centre == data_centre]
     return sorted(rank_by_weight(local, data_centre), key=lambda vm: not vm.holds_all)
 
 
 def find_position(own, vms):
-    """Return the place of a node.
+    """Return the tree position of a node.
 
     Parameters
     ----------
     own : Vm
-        The node.
+        This node.
     vms : list of Vm
-        Usable VMs; the node's own is added if it is missing.
+        Usable VMs; `own` is added if it is missing.
 
     Notes
     -----
-    Ranks below ``RELAYS_PER_DATA_CENTRE`` are relays; the others form a heap
-    below them with ``FAN_OUT`` children each. After the parent come its other
-    relay, then the relays of other data centres, as a way round a parent that
-    does not answer. A relay takes changes from other relays while it cannot
-    reach the store.
+    Ranks below ``RELAYS_PER_DATA_CENTRE`` are relays; the others form a heap below them
+    with ``FAN_OUT`` children each. The parent is followed by the relays of its data
+    centre and then by those of other data centres, in case the parent does not answer.
+    A relay gets changes from other relays while it cannot reach the store.
     """
     if all(vm.name != own.name for vm in vms):
         vms = [*vms, own]
@@ -94,15 +93,15 @@
 
 
 def find_parent_rank(rank, ranked):
-    """Return the rank of a node's parent, which is one that holds everything.
+    """Return the rank of a node's parent, which holds all services.
 
     Notes
     -----
-    Nodes that hold only some services are leaves, shared out evenly where there
-    are more of them than a full tree has room for.
+    Nodes that hold only some services are leaves. If there are more of them than a full
+    tree has room for, they are distributed evenly.
     """
-    givers = max(RELAYS_PER_DATA_CENTRE, sum(vm.holds_all for vm in ranked))
-    return (rank - RELAYS_PER_DATA_CENTRE) // FAN_OUT % givers
+    full_node_count = max(RELAYS_PER_DATA_CENTRE, sum(vm.holds_all for vm in ranked))
+    return (rank - RELAYS_PER_DATA_CENTRE) // FAN_OUT % full_node_count
 
 
 def list_relays(vms):
@@ -114,14 +113,14 @@
 
 
 def list_remote_relays(own, vms):
-    """Return one relay of each other data centre, the nearest hash first."""
+    """Return one relay of each other data centre, in order of rendezvous weight."""
     names = sorted({vm.data_centre for vm in vms} - {own.data_centre})
     relays = [rank_nodes(vms, name)[0] for name in names]
     return sorted(relays, key=lambda vm: compute_weight(own.name, vm.name))
 
 
 def compute_depth(rank):
-    """Return how many calls lie between the store and a rank."""
+    """Return the number of calls between the store and a rank."""
     depth = 0
     while rank >= RELAYS_PER_DATA_CENTRE:
         rank = (rank - RELAYS_PER_DATA_CENTRE) // FAN_OUT
--- a/packages/hingesill-core/hingesill_core/membership/vms.py
+++ b/packages/hingesill-core/hingesill_core/membership/vms.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of VMs, joined with what peers were heard of."""
+"""The platform's list of VMs, which lags, and the reachability of the nodes."""
 
 from enum import Enum
 
@@ -6,32 +6,33 @@
 
 __all__ = ["Vm", "VmState", "Membership"]
 
-SILENT_AFTER = 10.0
+# Time for which a node is not used after a failed call, in seconds.
+UNREACHABLE_SECONDS = 10.0
 
 
 class VmState(str, Enum):
-    """The platform's word on a VM."""
+    """State of a VM as the platform reports it."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Vm(Struct, frozen=True):
-    """One node process as the list shows it.
+    """One node process in the list of VMs.
 
     Parameters
     ----------
     name : str
-        The node's name, which no other node ever has.
+        Name of the node; names are never used again.
     control : str
         Address of its control port.
     data_centre : str
-        Where it runs.
+        Data centre in which the node runs.
     state : VmState
-        LEAVING ones serve, but are asked for nothing new.
+        A LEAVING node still serves, but gets no new calls.
     holds_all : bool
-        False for a node that holds only the services that it needs; it gives
-        changes to nobody.
+        Whether the node holds all services. A node that holds only the services it
+        needs is no parent of other nodes.
     """
 
     name: str
@@ -42,47 +43,52 @@
 
 
 class Membership:
-    """The newest list, and which of it failed to answer of late.
+    """The newest list of VMs, and which nodes recently failed to answer.
 
     Notes
     -----
-    A VM that the list still shows but that is gone costs one failed call each
-    ``SILENT_AFTER`` seconds. One that the list does not show yet takes part as
-    soon as it subscribes, since any node serves any other.
+    A VM that is gone but still listed costs one failed call each
+    ``UNREACHABLE_SECONDS``. A node that is not listed yet takes part as soon as it
+    subscribes, since any node serves any other.
     """
 
     def __init__(self, own):
         self.own = own
         self._vms = {own.name: own}
-        self._silent = {}
+        self._unreachable_since = {}
 
     def replace_vms(self, vms):
-        """Put a newer list in force; this node itself always belongs to it."""
+        """Replace the list by a newer one; this node itself is always included."""
         self._vms = {vm.name: vm for vm in vms}
         self._vms.setdefault(self.own.name, self.own)
-        self._silent = {n: t for n, t in self._silent.items() if n in self._vms}
+        self._unreachable_since = {
+            n: t for n, t in self._unreachable_since.items() if n in self._vms
+        }
 
     def mark_unreachable(self, name, now):
-        """Note that a node did not answer."""
-        self._silent[name] = now
+        """Record that a node did not answer."""
+        self._unreachable_since[name] = now
 
     def mark_reachable(self, name):
-        """Note that a node answered."""
-        self._silent.pop(name, None)
+        """Record that a node answered."""
+        self._unreachable_since.pop(name, None)
 
     def list_all(self):
-        """Return every VM of the list."""
+        """Return all VMs of the list."""
         return list(self._vms.values())
 
     def list_usable(self, now):
-        """Return the VMs to count on: live ones that were not silent of late."""
+        """Return the live VMs that are not marked unreachable."""
         return [
             vm
             for vm in self._vms.values()
-            if vm.state is VmState.LIVE and not self._is_silent(vm.name, now)
+            if vm.state is VmState.LIVE and not self._is_unreachable(vm.name, now)
         ]
 
-    def _is_silent(self, name, now):
+    def _is_unreachable(self, name, now):
         if name == self.own.name:
             return False
-        return now - self._silent.get(name, -SILENT_AFTER) < SILENT_AFTER
+        return (
+            now - self._unreachable_since.get(name, -UNREACHABLE_SECONDS)
+            < UNREACHABLE_SECONDS
+        )
--- a/packages/hingesill-node/hingesill_node/ratelimits/__init__.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that endpoints name: what nodes say to each other of them."""
+"""Exchange of endpoints' rate limits between nodes."""
--- a/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
@@ -1,36 +1,40 @@
-"""Carries what nodes say to each other of endpoints' limits, by UDP."""
+"""Exchanges messages on endpoints' rate limits with other nodes, by UDP."""
 
 import random
 
 import eventlet
 
-from hingesill_node.ratelimits.datagrams import MARK, decode_message, encode_message
+from hingesill_node.ratelimits.datagrams import (
+    LIMIT_PREFIX,
+    decode_message,
+    encode_message,
+)
 from hingesill_node.telemetry.events import Event, log_event
 
 __all__ = ["LimitExchange", "log_limit"]
 
-# Interval of gossip rounds, in seconds. Each goes to two nodes, so that limits cost a
-# node at most four datagrams a second besides its grant requests.
+# Interval between gossip rounds, in seconds. A round goes to two nodes, so limits cost
+# a node at most four datagrams a second in addition to its grant requests.
 GOSSIP_INTERVAL_SECONDS = 0.5
-# Interval of log lines on invalid datagrams, in seconds.
-COMPLAINT_SECONDS = 5.0
+# Minimum interval between log lines on invalid datagrams, in seconds.
+LOG_INTERVAL_SECONDS = 5.0
 
 
 class LimitExchange:
-    """Tells other nodes of limits, asks them for grants, and hears from them.
+    """Sends limits and grant requests to other nodes and receives theirs.
 
     Parameters
     ----------
     limits : FleetLimits
-        Decides what is told.
+        Builds the messages and applies the received ones.
     port : DatagramPort
-        The node's.
+        The node's port for datagrams.
     list_peers : callable
         Returns IP number and port of the control address of each other node.
     runners : RunnerTable
-        Asks endpoints for their load.
+        Sends load queries to endpoints.
     counters : Counters
-        Gets ``limits``.
+        Counts messages as ``limits``.
     """
 
     def __init__(self, limits, port, list_peers, runners, counters):
@@ -40,47 +44,47 @@
         self.runners = runners
         self.counters = counters
         self.own = None
-        self._complain_from = 0.0
-        self._noted_at = 0.0
+        self._next_log_at = 0.0
+        self._refreshed_at = 0.0
 
     def start(self, own):
-        """Begin, given the IP number and port of the node's own control address."""
+        """Start, given the IP number and port of the node's own control address."""
         self.own = own
         self.limits.send = self._send
-        self.limits.refresh = self._note_nodes
-        self.port.register(MARK, self.take)
-        self._note_nodes()
-        eventlet.spawn(self._work)
+        self.limits.refresh = self._refresh_nodes
+        self.port.register(LIMIT_PREFIX, self.handle_datagram)
+        self._refresh_nodes()
+        eventlet.spawn(self._run_rounds)
 
-    def _note_nodes(self):
-        """Take which nodes there are.
+    def _refresh_nodes(self):
+        """Update the list of nodes.
 
         Notes
         -----
-        Only while that matters: a node whose endpoints name no limits works nothing
-        out, however many nodes come and go.
+        Repeated only while limits are exchanged: without any, changes of the fleet cost
+        a node nothing.
         """
-        self._noted_at = self.runners.clock()
+        self._refreshed_at = self.runners.clock()
         self.limits.set_nodes(self.own, self.list_peers())
 
-    def take(self, data, sender):
-        """Take a datagram; one that is not understood is dropped whole."""
+    def handle_datagram(self, data, sender):
+        """Apply the message of a datagram; drop an invalid one as a whole."""
         try:
             message = decode_message(data)
         except ValueError as error:
             self.counters.add("limits", "invalid")
-            self._complain(str(error), sender)
+            self._log_invalid(str(error), sender)
             return
         self.counters.add("limits", "heard")
         now = self.runners.clock()
-        if now - self._noted_at > GOSSIP_INTERVAL_SECONDS:
-            self._note_nodes()
+        if now - self._refreshed_at > GOSSIP_INTERVAL_SECONDS:
+            self._refresh_nodes()
         self.limits.take(message, sender, now)
 
-    def _complain(self, detail, sender):
+    def _log_invalid(self, detail, sender):
         now = self.runners.clock()
-        if now >= self._complain_from:
-            self._complain_from = now + COMPLAINT_SECONDS
+        if now >= self._next_log_at:
+            self._next_log_at = now + LOG_INTERVAL_SECONDS
             log_event(Event.GOSSIP_INVALID, detail=detail, sender="%s:%d" % sender)
 
     def _send(self, node, message):
@@ -88,25 +92,25 @@
         try:
             self.port.send(encode_message(message), node)
         except OSError:
-            # A datagram that cannot be sent is as good as lost.
+            # Handled like a datagram that is lost on the way.
             self.counters.add("limits", "failed")
 
-    def _work(self):
+    def _run_rounds(self):
         while True:
             eventlet.sleep(GOSSIP_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
             if self.limits.is_starting or self.limits.count_limited():
-                self._note_nodes()
+                self._refresh_nodes()
             now = self.runners.clock()
             self.limits.run_gossip_round(now)
-            self._ask_endpoints(now)
+            self._query_endpoints(now)
 
-    def _ask_endpoints(self, now):
-        """Ask endpoints that were not heard of lately whether they are still in need.
+    def _query_endpoints(self, now):
+        """Query limited endpoints whose last report is old.
 
         Notes
         -----
-        One node does it for all, as a limited endpoint gets few requests or none: with
-        a limit of 0 no answer to a request could ever tell that the need is over.
+        A limited endpoint gets few requests or none: with a limit of 0, no answer to a
+        request can report the end of the limit. One node queries on behalf of all.
         """
         for limits in list(self.limits.services.values()):
             if limits.limited and limits.is_in_health and limits.is_first():
@@ -114,7 +118,7 @@
 
 
 def log_limit(change):
-    """Write a line for an endpoint's limit that begins, changes or ends."""
+    """Log that an endpoint's limit has begun, changed or ended."""
     report = change.report
     event = Event.LIMIT_CHANGED
     if report.per_second is None:
--- a/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Tests of datagrams on limits, and of nodes that exchange them."""
+"""Tests of datagrams on rate limits, and of nodes that exchange them."""
 
 import random
 import socket
@@ -20,47 +20,53 @@
 from hingesill_core.ratelimits.reportedlimits import ParsedLimit
 from hingesill_node.crashes.datagrams import MESSAGE_PREFIX
 from hingesill_node.datagramport import DatagramPort
-from hingesill_node.ratelimits.datagrams import MARK, decode_message, encode_message
+from hingesill_node.ratelimits.datagrams import (
+    LIMIT_PREFIX,
+    decode_message,
+    encode_message,
+)
 from hingesill_node.ratelimits.exchange import LimitExchange
 from hingesill_node.telemetry.counters import Counters
 
-TOLD = LimitRecord("arena", "i-0123456789", 1_764_720_000_000, 2.5, 0.1, 0.2, True)
+RECORD = LimitRecord("arena", "i-0123456789", 1_764_720_000_000, 2.5, 0.1, 0.2, True)
 RUN = GrantRun("i-0123456789", 0.123456, 0.4, 3)
 MESSAGES = (
-    LimitUpdate((TOLD,)),
-    GrantRequest(3, "arena", 2, 0.5, (TOLD,), ("i1",)),
-    GrantReply(3, "arena", (RUN,), 0.1, 0.2, 0.6, (TOLD,)),
+    LimitUpdate((RECORD,)),
+    GrantRequest(3, "arena", 2, 0.5, (RECORD,), ("i1",)),
+    GrantReply(3, "arena", (RUN,), 0.1, 0.2, 0.6, (RECORD,)),
     LimitQuery(),
 )
-LARGEST_BYTES = 1400
+MAX_DATAGRAM_BYTES = 1400
 
 
-class CodeTests(unittest.TestCase):
-    def test_what_is_told_is_heard(self):
+class CodecTests(unittest.TestCase):
+    def test_decoded_message_equals_the_encoded_one(self):
         for message in MESSAGES:
             self.assertEqual(decode_message(encode_message(message)), message)
 
-    def test_kinds_of_datagrams_are_told_apart(self):
+    def test_kinds_of_datagrams_are_distinguished(self):
         suspicion = pb.Suspicion(team="team", endpoint="i1", ratio=2.0)
-        marks = {MARK, MESSAGE_PREFIX, suspicion.SerializeToString()[:1]}
-        self.assertEqual(len(marks), 3)
+        prefixes = {LIMIT_PREFIX, MESSAGE_PREFIX, suspicion.SerializeToString()[:1]}
+        self.assertEqual(len(prefixes), 3)
 
-    def test_the_largest_fit_into_a_datagram(self):
+    def test_largest_messages_fit_into_a_datagram(self):
         reply = GrantReply(9, "arena", (RUN,) * MAX_GRANT_RUNS_PER_REPLY, 0.1, 0.2, 0.6)
-        self.assertLess(len(encode_message(reply)), LARGEST_BYTES)
-        self.assertLess(len(encode_message(LimitUpdate((TOLD,) * 16))), LARGEST_BYTES)
-        excluded = (TOLD.endpoint,) * 16
-        request = GrantRequest(9, "arena", 1024, 0.7, (TOLD,) * 16, excluded)
-        self.assertLess(len(encode_message(request)), LARGEST_BYTES)
-
-    def test_figures_beyond_all_bounds(self):
+        self.assertLess(len(encode_message(reply)), MAX_DATAGRAM_BYTES)
+        self.assertLess(
+            len(encode_message(LimitUpdate((RECORD,) * 16))), MAX_DATAGRAM_BYTES
+        )
+        excluded = (RECORD.endpoint,) * 16
+        request = GrantRequest(9, "arena", 1024, 0.7, (RECORD,) * 16, excluded)
+        self.assertLess(len(encode_message(request)), MAX_DATAGRAM_BYTES)
+
+    def test_values_out_of_range(self):
         for message in (
             LimitUpdate((LimitRecord("arena", "", 1, 2.5, 0.1, 0.2),)),
             LimitUpdate((LimitRecord("arena", "i1", 1, -1.0, 0.1, 0.2),)),
             LimitUpdate((LimitRecord("arena", "i1", 1, float("inf"), 0.1, 0.2),)),
             LimitUpdate((LimitRecord("arena", "i1", 1, float("nan"), 0.1, 0.2),)),
             LimitUpdate((LimitRecord("arena", "i1", 1, 1.0, -0.1, 0.2),)),
-            LimitUpdate((TOLD,) * 17),
+            LimitUpdate((RECORD,) * 17),
             GrantRequest(1, "arena", 0),
             GrantRequest(1, "arena", MAX_GRANTS_PER_REQUEST + 1),
             GrantRequest(1, "", 1),
@@ -75,7 +81,7 @@
             with self.subTest(message=message), self.assertRaises(ValueError):
                 decode_message(encode_message(message))
 
-    def test_changed_bytes_never_end_in_anything_else(self):
+    def test_corrupt_bytes_raise_nothing_but_value_error(self):
         rng = random.Random(1)
         for _ in range(5000):
             data = bytearray(encode_message(rng.choice(MESSAGES)))
@@ -88,7 +94,7 @@
 
 
 class Runners:
-    """What an exchange needs of a node's services."""
+    """Replaces the RunnerTable of a node."""
 
     def __init__(self, limits):
         self.limits = limits
@@ -105,10 +111,10 @@
 
     def setUp(self):
         self.counters = Counters()
-        addresses = [self.draw_address() for _ in range(3)]
+        addresses = [self.find_free_address() for _ in range(3)]
         self.nodes = [self.start(address, addresses) for address in addresses]
 
-    def draw_address(self):
+    def find_free_address(self):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.bind(("127.0.0.1", 0))
             return sock.getsockname()
@@ -128,7 +134,7 @@
             while not condition():
                 eventlet.sleep(0.01)
 
-    def test_a_node_that_is_not_the_coordinator_gets_grants(self):
+    def test_node_that_is_not_the_coordinator_gets_grants(self):
         now = Runners(None).clock()
         for node in self.nodes:
             node.get("arena").note("i1", 1, ParsedLimit(50.0), now, now)
@@ -137,22 +143,27 @@
         limits.grant_client.want(3, 0.5, now)
         self.wait(lambda: limits.grant_client.held.count(Runners(None).clock()) == 3)
 
-    def test_one_tells_the_others(self):
+    def test_limit_reaches_the_other_nodes(self):
         now = Runners(None).clock()
         self.nodes[0].get("arena").note("i1", 1, ParsedLimit(2.5), now, now)
         self.wait(lambda: all(n.get("arena").limited for n in self.nodes))
 
-    def test_services_that_are_not_declared_are_passed_over(self):
+    def test_undeclared_services_are_ignored(self):
         now = Runners(None).clock()
         record = LimitRecord("other", "i1", 1, 2.5, 0.0, 0.0)
         self.nodes[0].take(LimitUpdate((record,)), ("127.0.0.1", 1), now)
         self.nodes[0].take(GrantRequest(1, "other", 1), ("127.0.0.1", 1), now)
         self.assertEqual(list(self.nodes[0].services), [])
 
-    def test_bytes_that_are_no_message_change_nothing(self):
+    def test_invalid_datagrams_change_nothing(self):
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.addCleanup(sock.close)
-        for data in (b"", MARK, MARK * 2000, encode_message(MESSAGES[1])[:9]):
+        for data in (
+            b"",
+            LIMIT_PREFIX,
+            LIMIT_PREFIX * 2000,
+            encode_message(MESSAGES[1])[:9],
+        ):
             sock.sendto(data, self.nodes[0].own)
         now = Runners(None).clock()
         self.nodes[1].get("arena").note("i1", 1, ParsedLimit(2.5), now, now)
