--- a/packages/hingesill-core/hingesill_core/ratelimits/__init__.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that endpoints in need name: requests a second from all nodes together."""
+"""Rate limits that overloaded endpoints report, kept by all nodes together."""
--- a/packages/hingesill-core/hingesill_core/ratelimits/coordinators.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/coordinators.py
@@ -1,32 +1,35 @@
-"""Which node grants what the endpoints of a service still take."""
+"""Choice of the nodes that grant requests to limited endpoints of a service."""
 
 from hashlib import blake2b
 
 __all__ = ["rank_coordinators"]
 
-# Nodes that may grant for a service: the first, and a substitute.
-COORDINATORS = 2
+# Coordinators of a service: a primary and a substitute.
+MAX_COORDINATORS = 2
 
 
 def rank_coordinators(service, nodes):
-    """Return the nodes that grant for a service, the first one first.
+    """Return the coordinators of a service, the primary first.
 
     Parameters
     ----------
     service : str
-        Its name.
+        Name of the service.
     nodes : iterable of tuple
-        IP number and port of all nodes.
+        IP numbers and ports of all nodes.
 
     Notes
     -----
-    All nodes work out the same from the same list, so nothing has to be agreed, and a
-    node that comes or goes moves only the services that it grants for.
+    Rendezvous hashing: all nodes compute the same result from the same list without an
+    agreement protocol, and a node that joins or leaves moves only the services that it
+    coordinates.
     """
-    return sorted(nodes, key=lambda node: compute_weight(service, node))[:COORDINATORS]
+    return sorted(nodes, key=lambda node: compute_weight(service, node))[
+        :MAX_COORDINATORS
+    ]
 
 
 def compute_weight(service, node):
-    """Return a number that is the same at all nodes and spreads services over them."""
+    """Return the hash of a service and a node, which is the same at all nodes."""
     host, port = node
     return blake2b(f"{service} {host}:{port}".encode(), digest_size=8).digest()
--- a/packages/hingesill-core/hingesill_core/ratelimits/grantclient.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/grantclient.py
@@ -1,37 +1,42 @@
-"""Requests grants from coordinators for the requests that wait."""
+"""Requests grants from coordinators for waiting requests."""
 
 from math import inf
 
 from msgspec import Struct
 
-from hingesill_core.ratelimits.grants import PAUSE_SECONDS, GrantPool, GrantRequestPace
+from hingesill_core.ratelimits.grants import (
+    GRANT_REQUEST_INTERVAL_SECONDS,
+    GrantPool,
+    GrantRequestPace,
+)
 from hingesill_core.ratelimits.grantscheduler import GrantRun
 from hingesill_core.ratelimits.randomadmission import RandomAdmission
 
 __all__ = ["PendingGrantRequest", "GrantClient"]
 
-# Interval of trial requests that find out whether a limit has ended, in seconds.
+# Interval of trial requests, which show whether a limit has ended, in seconds.
 TRIAL_SECONDS = 1.0
-# Lost requests in a row after which a coordinator is skipped, and for how many seconds.
-LOST_IN_A_ROW = 2
-SILENT_SECONDS = 2.0
-# Shortest Retry-After of a refusal, in seconds.
-SHORTEST_WAIT = 0.05
+# Consecutive lost grant requests after which a coordinator is skipped, and the time for
+# which it is skipped, in seconds.
+LOSSES_BEFORE_SKIP = 2
+SKIP_SECONDS = 2.0
+# Minimum Retry-After of a refusal, in seconds.
+MIN_RETRY_AFTER_SECONDS = 0.05
 
 
 class PendingGrantRequest(Struct, frozen=True):
-    """Ask a coordinator for grants.
+    """A grant request to a coordinator.
 
     Parameters
     ----------
     node : tuple
         IP number and port of the coordinator.
     number : int
-        Of this node's asks.
+        Sequence number of this node's grant requests.
     wanted : int
-        How many.
+        Number of grants.
     horizon : float
-        Seconds within which they are of use.
+        Seconds within which grants can be used.
     """
 
     node: tuple
@@ -46,193 +51,197 @@
     Parameters
     ----------
     limits : ServiceLimits
-        Of the service.
+        Limits of the service.
     rng : random.Random
-        For what is taken by chance.
+        Source of all random choices.
 
     Attributes
     ----------
-    held : GrantPool
-        That were not used yet.
+    grants : GrantPool
+        Unused grants.
     pace : GrantRequestPace
-        When this node may ask.
+        Rate limit of grant requests.
     nodes : int
-        That share the limits.
-    ask_node : callable
-        Carries out a PendingGrantRequest.
+        Number of nodes that share the limits.
+    send_request : callable
+        Sends a PendingGrantRequest.
     """
 
     def __init__(self, limits, rng):
         self.limits = limits
         self.rng = rng
-        self.held = GrantPool()
+        self.grants = GrantPool()
         self.pace = GrantRequestPace()
-        self.share = RandomAdmission()
+        self.random_admission = RandomAdmission()
         self.nodes = 1
-        self.ask_node = lambda ask: None
-        self._asked = None
-        self._lost = 0
-        self._silent = {}
-        self._tried_at = float("-inf")
+        self.send_request = lambda request: None
+        self._requested_coordinator = None
+        self._consecutive_losses = 0
+        self._skipped_until = {}
+        self._last_trial_at = float("-inf")
         self._denied_until = float("-inf")
-        self._wait_until = float("-inf")
+        self._retry_at = float("-inf")
 
     def record_request(self, now):
         """Count a request that needs a grant."""
         self.pace.record_request(now)
 
     def record_change(self, report, before):
-        """Take that an endpoint names another limit.
+        """Handle the change of an endpoint's limit.
 
         Parameters
         ----------
-        word : ReportedLimit
-            What it names now.
+        report : ReportedLimit
+            The new limit.
         before : float or None
-            Requests a second that it named before.
+            The earlier limit in requests a second.
 
         Notes
         -----
-        What was granted of a higher limit is of no use any more, and what was refused
-        by the old one may be granted now.
+        Grants from a higher limit become invalid, and requests that were denied under
+        the old limit may be granted now.
         """
         self._denied_until = float("-inf")
         is_higher = before is None or (report.per_second or 0.0) >= before
         if report.per_second is None or not is_higher:
-            self.held.drop(report.endpoint)
+            self.grants.drop(report.endpoint)
 
-    def want(self, waiting, patience, now):
-        """See to it that grants come for requests that wait for one.
+    def request_grants(self, waiting, patience, now):
+        """Request grants for waiting requests, if necessary.
 
         Parameters
         ----------
         waiting : int
-            How many.
+            Number of waiting requests.
         patience : float
-            Seconds for which they wait at the longest.
+            Seconds for which they wait at most.
         now : float
             Seconds of the node's clock.
         """
         if not self.limits.limited:
             return
-        self._note_lost_ask(now)
-        wanted = self.pace.count_wanted(waiting, self.held.count(now), now)
-        if wanted > 0 and now >= self._denied_until and not self.pace.is_open(now):
-            self._get_granted(wanted, patience, now)
+        self._record_lost_request(now)
+        wanted = self.pace.count_wanted(waiting, self.grants.count(now), now)
+        if wanted > 0 and now >= self._denied_until and not self.pace.is_pending(now):
+            self._acquire_grants(wanted, patience, now)
 
     def request_trial_grant(self, now):
-        """See to it that limited endpoints get a request now and then.
+        """Request a grant now and then, so that limited endpoints get a request.
 
         Notes
         -----
-        Where answers to questions name no limits, only an answer to a request tells
-        that the need is over, and others may have room for all requests.
+        Where replies to load queries contain no limits, only the response to a request
+        shows that a limit has ended. Meanwhile other endpoints may have capacity for
+        all requests, so that none would be sent to the limited one.
         """
-        if self.limits.is_in_health or now - self._tried_at < TRIAL_SECONDS:
+        if self.limits.is_in_health or now - self._last_trial_at < TRIAL_SECONDS:
             return
-        self._tried_at = now
-        self.want(1, PAUSE_SECONDS, now)
+        self._last_trial_at = now
+        self.request_grants(1, GRANT_REQUEST_INTERVAL_SECONDS, now)
 
-    def _get_granted(self, wanted, patience, now):
+    def _acquire_grants(self, wanted, patience, now):
         coordinator = self._find_coordinator(now)
         if coordinator is None:
-            self._take_share(now)
+            self._admit_at_random(now)
             return
-        if not self.pace.take_turn(now):
+        if not self.pace.acquire_token(now):
             return
         horizon = self.pace.choose_horizon(patience, now)
         if coordinator == self.limits.own:
-            excluded = self.limits.list_avoided(now)
-            self._take_granted(self.limits.grant(wanted, horizon, now, excluded), now)
+            excluded = self.limits.list_unusable(now)
+            self._apply_result(self.limits.grant(wanted, horizon, now, excluded), now)
             return
-        self._asked = coordinator
-        number = self.pace.begin(now)
-        self.ask_node(PendingGrantRequest(coordinator, number, wanted, horizon))
+        self._requested_coordinator = coordinator
+        number = self.pace.start_request(now)
+        self.send_request(PendingGrantRequest(coordinator, number, wanted, horizon))
 
     def _find_coordinator(self, now):
-        """Return whom to ask: this node itself, another one, or None."""
+        """Return the coordinator to use, which may be this node itself, or None."""
         own = self.limits.own
         if own is None:
             return None
         for node in self.limits.coordinators:
-            if node == own or self._silent.get(node, now) <= now:
+            if node == own or self._skipped_until.get(node, now) <= now:
                 return node
         return None
 
-    def _note_lost_ask(self, now):
-        """Pass a coordinator over that didn't reply several times in a row."""
-        if not self.pace.take_lost(now):
+    def _record_lost_request(self, now):
+        """Skip a coordinator that did not reply several times in succession."""
+        if not self.pace.clear_timed_out(now):
             return
-        self._lost += 1
-        if self._lost >= LOST_IN_A_ROW:
-            self._lost = 0
-            self._silent[self._asked] = now + SILENT_SECONDS
-
-    def _take_share(self, now):
-        """Take this node's part of what the endpoints allow, by chance."""
-        excluded = self.limits.list_avoided(now)
+        self._consecutive_losses += 1
+        if self._consecutive_losses >= LOSSES_BEFORE_SKIP:
+            self._consecutive_losses = 0
+            self._skipped_until[self._requested_coordinator] = now + SKIP_SECONDS
+
+    def _admit_at_random(self, now):
+        """Admit one request at random at this node's share of the limits."""
+        excluded = self.limits.list_unusable(now)
         rates = self.limits.list_rates()
         rates = {name: rate for name, rate in rates.items() if name not in excluded}
         total = sum(rates.values())
-        if self.share.take(total, self.nodes, now, self.rng):
+        if self.random_admission.admit(total, self.nodes, now, self.rng):
             endpoint = self.rng.choices(list(rates), list(rates.values()))[0]
-            self.held.add(GrantRun(endpoint, 0.0, 0.0, 1), now)
+            self.grants.add(GrantRun(endpoint, 0.0, 0.0, 1), now)
             return
-        self._deny(SHORTEST_WAIT, self.nodes / total if total else SILENT_SECONDS, now)
+        self._deny(
+            MIN_RETRY_AFTER_SECONDS, self.nodes / total if total else SKIP_SECONDS, now
+        )
 
-    def take_reply(self, number, granted, pause, now):
-        """Take what a coordinator granted.
+    def handle_reply(self, number, result, pause, now):
+        """Apply the reply of a coordinator.
 
         Parameters
         ----------
         number : int
-            Of the ask; others than the last one are passed over, and late replies.
-        granted : Granted
-            What it gives.
+            Sequence number of the grant request; a late reply, or one to an earlier
+            request, is ignored.
+        result : GrantResult
+            The grants.
         pause : float
-            Seconds between two asks.
+            Seconds between two grant requests.
         now : float
-            The time.
+            Seconds of the node's clock.
         """
-        if not self.pace.end(number, now):
+        if not self.pace.complete(number, now):
             return
-        self._lost = 0
+        self._consecutive_losses = 0
         self.pace.pause = pause
-        self._take_granted(granted, now)
+        self._apply_result(result, now)
 
-    def _take_granted(self, granted, now):
-        for run in granted.runs:
-            self.held.add(run, now)
-        if granted.retry_after > 0 or granted.wait > 0:
-            self._deny(granted.retry_after, granted.wait, now)
+    def _apply_result(self, result, now):
+        for run in result.runs:
+            self.grants.add(run, now)
+        if result.retry_after > 0 or result.wait > 0:
+            self._deny(result.retry_after, result.wait, now)
 
     def _deny(self, retry_after, wait, now):
-        """Refuse what has no grant until some may come with the next ask."""
-        self._denied_until = now + max(retry_after, self.pace.get_pause(now))
-        self._wait_until = now + max(SHORTEST_WAIT, wait)
+        """Deny requests without a grant until the next grant request may get some."""
+        self._denied_until = now + max(retry_after, self.pace.get_token_wait(now))
+        self._retry_at = now + max(MIN_RETRY_AFTER_SECONDS, wait)
 
-    def list_surplus(self, untils, now):
+    def list_surplus(self, deadlines, now):
         """Return the indices of waiting requests that get no grant in time.
 
         Parameters
         ----------
-        untils : list of float
-            Until when each one waits, the most urgent one first.
+        deadlines : list of float
+            Time until which each request waits, the most urgent request first.
         now : float
             Seconds of the node's clock.
         """
-        times = self.held.list_times(now)
-        times += [self._get_earliest(now)] * (len(untils) - len(times))
-        return [index for index, until in enumerate(untils) if times[index] > until]
+        times = self.grants.list_times(now)
+        times += [self._get_next_grant_time(now)] * (len(deadlines) - len(times))
+        return [index for index, until in enumerate(deadlines) if times[index] > until]
 
-    def _get_earliest(self, now):
-        """Return from when on more grants than those that are held may be used."""
-        if self.pace.is_open(now):
+    def _get_next_grant_time(self, now):
+        """Return the time from which further grants may be usable."""
+        if self.pace.is_pending(now):
             return now
         if now < self._denied_until:
             return inf
-        return now + self.pace.get_pause(now)
+        return now + self.pace.get_token_wait(now)
 
     def get_wait(self, now):
-        """Return the seconds until a request that is refused now may be granted."""
-        return max(0.0, self._wait_until - now)
+        """Return the seconds until a request that is refused now may get a grant."""
+        return max(0.0, self._retry_at - now)
--- a/packages/hingesill-core/hingesill_core/ratelimits/grants.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/grants.py
@@ -1,193 +1,202 @@
-"""The grants that a node holds, and when it requests more."""
+"""Unused grants of a node, and the rate of its grant requests."""
 
 from itertools import chain
 from math import ceil, exp, floor
 
 from msgspec import Struct
 
-from hingesill_core.ratelimits.grantscheduler import HORIZON_SECONDS
+from hingesill_core.ratelimits.grantscheduler import MAX_HORIZON_SECONDS
 
 __all__ = ["GrantRequestPace", "Grant", "GrantPool"]
 
 # Lifetime of a grant, in seconds: longer than a load query takes.
-GRANT_SECONDS = 0.6
-# Shortest interval of grant requests, in seconds, and the burst after an idle time.
-PAUSE_SECONDS = 0.6
-MOST_AT_ONCE = 2.0
+GRANT_LIFETIME_SECONDS = 0.6
+# Minimum interval of grant requests, in seconds, and the burst after an idle time.
+GRANT_REQUEST_INTERVAL_SECONDS = 0.6
+GRANT_REQUEST_BURST = 2.0
 # Timeout of a grant request, in seconds.
-REPLY_SECONDS = 0.15
-# Round trip to the coordinator and one round of this node, in seconds. Under overload
-# grants fall due at the end of the requested horizon, so that must end earlier.
-MARGIN_SECONDS = 0.05
-# Mean number of requests in a grant's lifetime from which on a node is busy and
-# requests grants for all that will arrive until its next grant request.
-BUSY_USES = 4.5
-# Share of the expected requests for which any other node requests grants.
-LIKELY_USED = 0.8
+REPLY_TIMEOUT_SECONDS = 0.15
+# Time for the round trip to the coordinator and one round of this node, in seconds.
+# Under overload grants become usable at the end of the requested horizon, so it must be
+# shorter than the patience of the waiting requests.
+HORIZON_MARGIN_SECONDS = 0.05
+# Mean number of requests in a grant's lifetime that makes a node busy: it then requests
+# grants for all requests that will arrive before its next grant request.
+BUSY_REQUESTS_PER_GRANT = 4.5
+# Share of the expected requests for which a node that is not busy requests grants.
+PREFETCH_SHARE = 0.8
 # Window in which requests that need a grant are counted, in seconds; long enough that
 # random variation does not make a node busy.
-COUNTED_SECONDS = 2.0
-# Most grants in one request.
+DEMAND_WINDOW_SECONDS = 2.0
+# Upper bound of the grants in one grant request.
 MAX_GRANTS_PER_REQUEST = 1024
 
 
 class Grant(Struct, frozen=True):
-    """One request that an endpoint takes from this node; times of the node's clock."""
+    """Permission to send one request to an endpoint; times of the node's clock."""
 
     endpoint: str
     usable_from: float
-    until: float
+    expires_at: float
 
 
 class GrantPool:
-    """Grants that were not used yet, by endpoint, the first one first."""
+    """Unused grants by endpoint, in order of time."""
 
     def __init__(self):
         self._grants = {}
 
     def add(self, run, now):
-        """Take the grants of a GrantRun."""
+        """Add the grants of a GrantRun."""
         grants = self._grants.setdefault(run.endpoint, [])
         for number in range(run.count):
             usable_from = now + run.delay + number * run.interval
-            until = usable_from + GRANT_SECONDS
-            grants.append(Grant(run.endpoint, usable_from, until))
+            expires_at = usable_from + GRANT_LIFETIME_SECONDS
+            grants.append(Grant(run.endpoint, usable_from, expires_at))
         grants.sort(key=lambda grant: grant.usable_from)
 
     def find(self, endpoint, now):
-        """Return a Grant that may be used now at an endpoint, or None."""
+        """Return a Grant that is usable now at an endpoint, or None."""
         for grant in self._grants.get(endpoint, ()):
-            if grant.usable_from <= now < grant.until:
+            if grant.usable_from <= now < grant.expires_at:
                 return grant
         return None
 
-    def use(self, grant):
-        """Take a grant out."""
+    def remove(self, grant):
+        """Remove a grant that is used."""
         self._grants[grant.endpoint].remove(grant)
 
     def count(self, now):
-        """Return how many may still be used, now or soon."""
+        """Return the number of grants that are usable now or later."""
         return len(self.list_times(now))
 
     def list_times(self, now):
-        """Return from when on the grants may be used, the first one first."""
+        """Return the times from which the grants are usable, the earliest first."""
         self._forget(now)
         grants = chain.from_iterable(self._grants.values())
         return sorted(grant.usable_from for grant in grants)
 
     def _forget(self, now):
-        """Forget the grants that have ended."""
+        """Delete the grants that have expired."""
         for endpoint, grants in list(self._grants.items()):
-            left = [grant for grant in grants if now < grant.until]
+            left = [grant for grant in grants if now < grant.expires_at]
             if left:
                 self._grants[endpoint] = left
             else:
                 del self._grants[endpoint]
 
     def drop(self, endpoint):
-        """Forget the grants at an endpoint."""
+        """Delete the grants at an endpoint."""
         self._grants.pop(endpoint, None)
 
 
 class GrantRequestPace(Struct):
-    """When a node may ask, and for how many.
+    """The rate limit of a node's grant requests, and their size.
 
     Attributes
     ----------
     pause : float
-        Seconds between two asks.
-    allowed : float
-        Asks that may be made at once.
-    counted_at : float
-        When that was counted.
+        Seconds between two grant requests.
+    tokens : float
+        Grant requests that may be sent immediately.
+    refilled_at : float
+        Time of the last refill of the tokens.
     demand : float
-        Requests in about the last second that needed a grant.
-    noted_at : float
-        When these were counted.
+        Decaying count of requests that needed a grant.
+    demand_at : float
+        Time of the last update of the demand.
     number : int
-        Of the last ask.
-    asked_at : float or None
-        When it was made; None if it was replied to, or is lost.
+        Sequence number of the last grant request.
+    requested_at : float or None
+        Time of the pending grant request; None after its reply or its timeout.
     """
 
-    pause: float = PAUSE_SECONDS
-    allowed: float = MOST_AT_ONCE
-    counted_at: float = 0.0
+    pause: float = GRANT_REQUEST_INTERVAL_SECONDS
+    tokens: float = GRANT_REQUEST_BURST
+    refilled_at: float = 0.0
     demand: float = 0.0
-    noted_at: float = 0.0
+    demand_at: float = 0.0
     number: int = 0
-    asked_at: float | None = None
+    requested_at: float | None = None
 
     def record_request(self, now):
         """Count a request that needs a grant."""
         self.demand = self._count_demand(now) + 1
-        self.noted_at = now
+        self.demand_at = now
 
     def _count_demand(self, now):
-        return self.demand * exp(-max(0.0, now - self.noted_at) / COUNTED_SECONDS)
+        return self.demand * exp(
+            -max(0.0, now - self.demand_at) / DEMAND_WINDOW_SECONDS
+        )
 
     def is_busy(self, now):
-        """Tell whether a grant that comes at any time is used before it ends."""
-        return self._count_demand(now) / COUNTED_SECONDS * GRANT_SECONDS >= BUSY_USES
+        """Return whether a grant is used before it expires, whenever it arrives."""
+        return (
+            self._count_demand(now) / DEMAND_WINDOW_SECONDS * GRANT_LIFETIME_SECONDS
+            >= BUSY_REQUESTS_PER_GRANT
+        )
 
-    def count_wanted(self, waiting, held, now):
-        """Return how many grants are worth asking for.
+    def count_wanted(self, waiting, unused, now):
+        """Return the number of grants to request.
 
         Notes
         -----
-        A busy node asks ahead of need: with most of the traffic it would otherwise get
-        one request at a time. Elsewhere a grant that comes when the request that waits
-        for it is gone would be lost.
+        A busy node requests grants ahead of demand: otherwise a node with most of the
+        traffic would get grants for one request at a time. At any other node, a grant
+        that arrives after its request has ended would be wasted.
         """
-        rate = self._count_demand(now) / COUNTED_SECONDS
+        rate = self._count_demand(now) / DEMAND_WINDOW_SECONDS
         if self.is_busy(now):
             ahead = max(0, ceil(rate * self.pause) - waiting)
         else:
-            ahead = floor(rate * GRANT_SECONDS * LIKELY_USED)
+            ahead = floor(rate * GRANT_LIFETIME_SECONDS * PREFETCH_SHARE)
         waiting += ahead
-        return min(MAX_GRANTS_PER_REQUEST, waiting) - held
+        return min(MAX_GRANTS_PER_REQUEST, waiting) - unused
 
     def choose_horizon(self, patience, now):
-        """Return the seconds within which grants are of use."""
+        """Return the seconds within which grants can be used."""
         if self.is_busy(now):
-            return HORIZON_SECONDS
-        return max(0.0, min(patience - MARGIN_SECONDS, HORIZON_SECONDS))
-
-    def take_turn(self, now):
-        """Tell whether an ask may be made now, and count it."""
-        gained = max(0.0, now - self.counted_at) / self.pause
-        self.allowed = min(MOST_AT_ONCE, self.allowed + gained)
-        self.counted_at = now
-        if self.allowed < 1.0:
+            return MAX_HORIZON_SECONDS
+        return max(0.0, min(patience - HORIZON_MARGIN_SECONDS, MAX_HORIZON_SECONDS))
+
+    def acquire_token(self, now):
+        """Return whether a grant request may be sent now, and count it."""
+        gained = max(0.0, now - self.refilled_at) / self.pause
+        self.tokens = min(GRANT_REQUEST_BURST, self.tokens + gained)
+        self.refilled_at = now
+        if self.tokens < 1.0:
             return False
-        self.allowed -= 1.0
+        self.tokens -= 1.0
         return True
 
-    def get_pause(self, now):
-        """Return the seconds until the next ask may be made."""
-        rested = max(0.0, now - self.counted_at) / self.pause
-        return max(0.0, (1.0 - self.allowed - rested) * self.pause)
+    def get_token_wait(self, now):
+        """Return the seconds until the next grant request may be sent."""
+        gained = max(0.0, now - self.refilled_at) / self.pause
+        return max(0.0, (1.0 - self.tokens - gained) * self.pause)
 
-    def begin(self, now):
-        """Note an ask that is sent; return its number."""
+    def start_request(self, now):
+        """Record that a grant request is sent; return its number."""
         self.number += 1
-        self.asked_at = now
+        self.requested_at = now
         return self.number
 
-    def is_open(self, now):
-        """Tell whether an ask waits for its reply."""
-        return self.asked_at is not None and now - self.asked_at < REPLY_SECONDS
+    def is_pending(self, now):
+        """Return whether a grant request waits for its reply."""
+        return (
+            self.requested_at is not None
+            and now - self.requested_at < REPLY_TIMEOUT_SECONDS
+        )
 
-    def take_lost(self, now):
-        """Tell, once for each, whether an ask got no reply."""
-        if self.asked_at is None or self.is_open(now):
+    def clear_timed_out(self, now):
+        """Return whether a grant request has timed out, once for each."""
+        if self.requested_at is None or self.is_pending(now):
             return False
-        self.asked_at = None
+        self.requested_at = None
         return True
 
-    def end(self, number, now):
-        """Tell whether a reply is in time and the one that is waited for."""
-        if number != self.number or not self.is_open(now):
+    def complete(self, number, now):
+        """Return whether a reply is in time and belongs to the pending request."""
+        if number != self.number or not self.is_pending(now):
             return False
-        self.asked_at = None
+        self.requested_at = None
         return True
--- a/packages/hingesill-core/hingesill_core/ratelimits/grantscheduler.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/grantscheduler.py
@@ -1,4 +1,4 @@
-"""What a coordinator has granted of the limits of one service's endpoints."""
+"""Schedule of the requests that a coordinator grants at the endpoints of a service."""
 
 from collections import Counter
 from math import exp
@@ -8,34 +8,34 @@
 __all__ = [
     "GrantScheduler",
     "GrantRun",
-    "Granted",
-    "HORIZON_SECONDS",
+    "GrantResult",
+    "MAX_HORIZON_SECONDS",
     "MAX_GRANT_RUNS_PER_REPLY",
 ]
 
-# Longest time ahead for which requests are granted, in seconds.
-HORIZON_SECONDS = 0.7
-# Most endpoints in a reply, so that it fits into a datagram.
+# Maximum time ahead for which requests are granted, in seconds.
+MAX_HORIZON_SECONDS = 0.7
+# Endpoints in a reply, which has to fit into a datagram.
 MAX_GRANT_RUNS_PER_REPLY = 24
-# Time for which refused requests count as demand, in seconds.
-UNMET_SECONDS = 1.0
-# Requests a second below which an endpoint counts as taking none.
-LEAST_RATE = 1e-6
+# Decay time of the count of refused requests, in seconds.
+UNMET_DEMAND_SECONDS = 1.0
+# Requests a second below which an endpoint gets no grants.
+MIN_RATE = 1e-6
 
 
 class GrantRun(Struct, frozen=True, array_like=True):
-    """Requests that one endpoint takes from a node, one after another.
+    """Grants at one endpoint for one node, at regular intervals.
 
     Parameters
     ----------
     endpoint : str
-        Its identity.
+        Identity of the endpoint.
     delay : float
-        Seconds from now at which it takes the first one.
+        Seconds from now to the first request.
     interval : float
-        Seconds between two of them.
+        Seconds between two requests.
     count : int
-        How many.
+        Number of requests.
     """
 
     endpoint: str
@@ -44,17 +44,17 @@
     count: int
 
 
-class Granted(Struct, frozen=True):
-    """What one ask brought.
+class GrantResult(Struct, frozen=True):
+    """The outcome of one grant request.
 
     Parameters
     ----------
     runs : tuple of GrantRun
-        What endpoints take.
+        The grants.
     retry_after : float
-        Seconds until more may be granted; 0 if all was that was wanted.
+        Seconds until more grants are available; 0 if all wanted grants were given.
     wait : float
-        Seconds after which a request that came now may be granted.
+        Seconds after which a request that arrives now may get a grant.
     """
 
     runs: tuple[GrantRun, ...] = ()
@@ -63,18 +63,19 @@
 
 
 class GrantScheduler(Struct):
-    """Gives out the requests that endpoints take, one after another.
+    """Assigns the requests that limited endpoints accept, at regular intervals.
 
     Parameters
     ----------
     rng : random.Random
-        Chooses where an endpoint that is new here begins.
+        Chooses the time of the first grant at an endpoint with a new limit.
 
     Notes
     -----
-    Nothing is saved up: an endpoint that was left alone for long takes one request at
-    once, and the next one when its limit allows it. One whose limit is new here begins
-    within its first interval, as another node may have granted for it until now.
+    Unused capacity is not accumulated: an endpoint that was idle for a long time gets
+    one request immediately and the next one after the interval of its limit. At an
+    endpoint whose limit is new here the first grant lies within the first interval, as
+    another node may have granted requests there until now.
     """
 
     rng: object
@@ -84,77 +85,79 @@
     unmet_at: float = 0.0
 
     def grant(self, rates, wanted, horizon, now, excluded=()):
-        """Grant requests at the endpoints that are free first.
+        """Grant requests at the endpoints that are available first.
 
         Parameters
         ----------
         rates : dict
             Requests a second by identity of all limited endpoints.
         wanted : int
-            How many.
+            Number of grants.
         horizon : float
-            Seconds from now within which they are of use.
+            Seconds from now within which grants can be used.
         now : float
-            The time.
-        avoid : collection of str
-            Endpoints that the node which asks does not use now. What was granted
-            there is remembered all the same.
+            Seconds of the node's clock.
+        excluded : collection of str
+            Endpoints that the requesting node does not use now. The schedule of their
+            earlier grants is kept.
 
         Returns
         -------
-        Granted
+        GrantResult
         """
-        rates = {name: rate for name, rate in rates.items() if rate > LEAST_RATE}
-        self._adopt(rates, now)
+        rates = {name: rate for name, rate in rates.items() if rate > MIN_RATE}
+        self._set_rates(rates, now)
         usable = [name for name in rates if name not in excluded]
-        until = now + min(horizon, HORIZON_SECONDS)
-        runs = self._give_out(usable, wanted, until, now)
+        until = now + min(horizon, MAX_HORIZON_SECONDS)
+        runs = self._schedule(usable, wanted, until, now)
         missing = wanted - sum(run.count for run in runs)
-        self._note_unmet(missing, now)
+        self._record_unmet(missing, now)
         if not missing:
-            return Granted(runs)
-        return Granted(runs, *self._estimate(usable, horizon, now))
+            return GrantResult(runs)
+        return GrantResult(runs, *self._estimate_waits(usable, horizon, now))
 
-    def _give_out(self, usable, wanted, until, now):
-        """Return GrantRuns, of the usable endpoints that are free first."""
-        begun = {}
+    def _schedule(self, usable, wanted, until, now):
+        """Return GrantRuns at the usable endpoints that are available first."""
+        delays = {}
         counts = Counter()
         while usable and counts.total() < wanted:
             endpoint = min(usable, key=self.free_at.__getitem__)
             at = max(now, self.free_at[endpoint])
             if at > until or (
-                endpoint not in begun and len(begun) >= MAX_GRANT_RUNS_PER_REPLY
+                endpoint not in delays and len(delays) >= MAX_GRANT_RUNS_PER_REPLY
             ):
                 break
-            begun.setdefault(endpoint, at - now)
+            delays.setdefault(endpoint, at - now)
             counts[endpoint] += 1
             self.free_at[endpoint] = at + 1 / self.rates[endpoint]
         return tuple(
             GrantRun(endpoint, delay, 1 / self.rates[endpoint], counts[endpoint])
-            for endpoint, delay in begun.items()
+            for endpoint, delay in delays.items()
         )
 
-    def _adopt(self, rates, now):
-        """Take the limits as they are now; what is not limited is forgotten."""
+    def _set_rates(self, rates, now):
+        """Replace the limits; delete the schedule of endpoints without one."""
         free_at = {}
         for endpoint, rate in rates.items():
             interval = 1 / rate
             at = self.free_at.get(endpoint)
             if at is None:
                 at = now + interval * self.rng.random()
-            free_at[endpoint] = min(at, now + max(interval, HORIZON_SECONDS + interval))
+            free_at[endpoint] = min(
+                at, now + max(interval, MAX_HORIZON_SECONDS + interval)
+            )
         self.free_at = free_at
         self.rates = rates
 
-    def _note_unmet(self, missing, now):
+    def _record_unmet(self, missing, now):
         age = max(0.0, now - self.unmet_at)
-        self.unmet = self.unmet * exp(-age / UNMET_SECONDS) + missing
+        self.unmet = self.unmet * exp(-age / UNMET_DEMAND_SECONDS) + missing
         self.unmet_at = now
 
-    def _estimate(self, usable, horizon, now):
-        """Return retry_after and wait of a Granted that lacks some."""
+    def _estimate_waits(self, usable, horizon, now):
+        """Return retry_after and wait of a GrantResult with too few grants."""
         if not usable:
-            return UNMET_SECONDS, UNMET_SECONDS
+            return UNMET_DEMAND_SECONDS, UNMET_DEMAND_SECONDS
         first = max(0.0, min(self.free_at[name] for name in usable) - now)
         retry_after = max(0.0, first - horizon)
         return retry_after, first + self.unmet / sum(
--- a/packages/hingesill-core/hingesill_core/ratelimits/messages.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of endpoints' limits."""
+"""Messages between nodes about the limits of endpoints."""
 
 from msgspec import Struct
 
@@ -8,22 +8,24 @@
 
 
 class LimitRecord(Struct, frozen=True, array_like=True):
-    """An endpoint's newest word, as one node knows it.
+    """An endpoint's newest report that one node knows.
 
     Parameters
     ----------
     service, endpoint : str
-        Of which service, and which endpoint.
+        Name of the service and identity of the endpoint.
     born : int
-        The life that said it.
+        Incarnation that sent the report.
     per_second : float or None
-        Requests from all nodes together; None if it names no limit.
+        Requests from all nodes together; None for no limit.
     age : float
-        Seconds since it was said at the latest, when this was sent.
+        Seconds from the latest time at which the report may have been written to the
+        sending of this record.
     span : float
-        Seconds before that in which it may have been said.
+        Seconds between the earliest and the latest time at which the report may have
+        been written.
     is_in_health : bool
-        Answers to questions for its load name limits too.
+        Whether replies to load queries contain limits as well.
     """
 
     service: str
@@ -40,30 +42,30 @@
 
     Parameters
     ----------
-    told : tuple of LimitRecord
-        The news.
+    records : tuple of LimitRecord
+        The changes.
     """
 
     records: tuple[LimitRecord, ...]
 
 
 class GrantRequest(Struct, frozen=True, array_like=True, tag=2):
-    """A node asks the coordinator what endpoints of a service still take.
+    """A request to the coordinator for grants at the endpoints of a service.
 
     Parameters
     ----------
     number : int
-        Of the sender's requests.
+        Sequence number of the sender's grant requests.
     service : str
-        Its name.
+        Name of the service.
     wanted : int
-        Requests that wait, and that will come until the next ask.
+        Waiting requests and those expected before the next grant request.
     horizon : float
-        Seconds within which grants are of use.
-    told : tuple of LimitRecord
-        Limits as the sender knows them.
-    avoid : tuple of str
-        Endpoints in need that the sender does not use now.
+        Seconds within which the sender can use grants.
+    records : tuple of LimitRecord
+        Limits that the sender knows.
+    excluded : tuple of str
+        Limited endpoints that the sender does not use now.
     """
 
     number: int
@@ -75,22 +77,22 @@
 
 
 class GrantReply(Struct, frozen=True, array_like=True, tag=3):
-    """What a coordinator grants.
+    """A coordinator's reply to a grant request.
 
     Parameters
     ----------
     number : int
-        Of the request.
+        Sequence number of the grant request.
     service : str
-        Its name.
+        Name of the service.
     runs : tuple of GrantRun
-        What endpoints take.
+        The grants.
     retry_after, wait : float
-        See `hingesill_core.ratelimits.grantscheduler.Granted`.
+        See `hingesill_core.ratelimits.grantscheduler.GrantResult`.
     pause : float
-        Seconds between two requests of a node; more in large fleets.
-    told : tuple of LimitRecord
-        Where the coordinator knows better than the node that asked.
+        Seconds between two grant requests of a node; longer in large fleets.
+    records : tuple of LimitRecord
+        Corrections of the limits in the request.
     """
 
     number: int
@@ -103,12 +105,12 @@
 
 
 class LimitQuery(Struct, frozen=True, array_like=True, tag=4):
-    """A node that has just started asks which endpoints name limits.
+    """A starting node's query for all endpoints that have limits.
 
     Parameters
     ----------
-    told : tuple of LimitRecord
-        None: it knows of no limit yet.
+    records : tuple of LimitRecord
+        Empty, as the node knows no limits yet.
     """
 
     records: tuple[LimitRecord, ...] = ()
--- a/packages/hingesill-core/hingesill_core/ratelimits/randomadmission.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/randomadmission.py
@@ -1,42 +1,42 @@
-"""One node's part of a rate that a whole fleet shares, where nothing is agreed."""
+"""Random admission at a rate that all nodes share without coordination."""
 
 from msgspec import Struct
 
 __all__ = ["RandomAdmission"]
 
 # Burst of all nodes together, in seconds of the rate.
-COUNTED_SECONDS = 0.5
-# Share of the rate that all nodes together aim at; the rest is reserve.
-USED_SHARE = 0.6
+BURST_SECONDS = 0.5
+# Share of the rate that all nodes together aim at; the remainder is a reserve.
+TARGET_SHARE = 0.6
 
 
 class RandomAdmission(Struct):
-    """Takes a part of a rate by chance.
+    """Admits requests at random, at a node's share of a rate.
 
     Notes
     -----
-    A token for each node would be saved up while it is idle, and all tokens would be
-    spent together when callers come to all nodes at once, however few requests the
-    endpoint takes. Here what a node may take grows with the time in which it
-    looks, and is gone when it doesn't.
+    With a token bucket at each node, idle nodes would keep their tokens, and all nodes
+    could spend them in the same moment, however low the limit is. Here the probability
+    grows with the time since the last attempt, up to `BURST_SECONDS`, so that a node
+    accumulates nothing while it is idle.
     """
 
-    looked_at: float = float("-inf")
+    last_attempt_at: float = float("-inf")
 
-    def take(self, rate, nodes, now, rng):
-        """Tell whether this node may take one now.
+    def admit(self, rate, nodes, now, rng):
+        """Return whether this node may send one request now.
 
         Parameters
         ----------
         rate : float
-            A second, of all nodes together.
+            Requests a second of all nodes together.
         nodes : int
-            That share it.
+            Number of nodes that share the rate.
         now : float
             Seconds of the node's clock.
         rng : random.Random
-            Decides.
+            Source of the random choice.
         """
-        seconds = min(COUNTED_SECONDS, max(0.0, now - self.looked_at))
-        self.looked_at = now
-        return rng.random() < USED_SHARE * rate / max(1, nodes) * seconds
+        seconds = min(BURST_SECONDS, max(0.0, now - self.last_attempt_at))
+        self.last_attempt_at = now
+        return rng.random() < TARGET_SHARE * rate / max(1, nodes) * seconds
--- a/packages/hingesill-core/hingesill_core/ratelimits/reportedlimits.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/reportedlimits.py
@@ -1,26 +1,26 @@
-"""The limits that endpoints report, and which of two reports is the newer one."""
+"""Limits that endpoints report, and the order of two reports."""
 
 from msgspec import Struct
 
-__all__ = ["LimitBook", "ReportedLimit", "NO_LIMIT", "ParsedLimit", "INVALID_LIMIT"]
+__all__ = ["LimitTable", "ReportedLimit", "NO_LIMIT", "ParsedLimit", "INVALID_LIMIT"]
 
-# Time for which an ended limit is remembered, in seconds: other nodes may still pass an
-# older report on.
-REMEMBERED_SECONDS = 60.0
+# Retention of an ended limit, in seconds: other nodes may still send an older report.
+ENDED_LIMIT_SECONDS = 60.0
 
-# Most reports that are remembered for a service.
-MOST_WORDS = 65_536
+# Reports that are kept for a service.
+MAX_REPORTS = 65_536
 
 
 class ParsedLimit(Struct, frozen=True):
-    """What the head of an answer names.
+    """The limit in the header of a response.
 
     Parameters
     ----------
     per_second : float or None
-        Requests that the endpoint takes from all nodes together; None for no limit.
+        Requests that the endpoint accepts from all nodes together; None for no limit.
     is_valid : bool
-        False if it names something that is no limit; that is no word at all.
+        False if the header's value is not a limit; such a header is ignored and does
+        not end a limit.
     """
 
     per_second: float | None
@@ -32,18 +32,19 @@
 
 
 class ReportedLimit(Struct, frozen=True):
-    """An endpoint's word on the requests that it takes.
+    """An endpoint's report of the rate of requests that it accepts.
 
     Parameters
     ----------
     endpoint : str
-        Its identity.
+        Identity of the endpoint.
     born : int
-        The life that said it.
+        Incarnation that sent the report.
     per_second : float or None
-        Requests from all nodes together; None if it named no limit.
+        Requests from all nodes together; None for no limit.
     earliest, latest : float
-        Between which times it was said, in seconds of the node's clock.
+        Bounds of the time at which the report was written, in seconds of the node's
+        clock.
     """
 
     endpoint: str
@@ -53,89 +54,96 @@
     latest: float
 
     def is_stricter(self, other):
-        """Tell whether it allows less than another word."""
+        """Return whether it allows fewer requests than another report."""
         if self.per_second is None:
             return False
         return other.per_second is None or self.per_second < other.per_second
 
 
-class LimitBook:
-    """The newest word of each endpoint of a service that ever named a limit.
+class LimitTable:
+    """The newest report of each endpoint of a service that has ever had a limit.
 
     Attributes
     ----------
     limited : dict
-        Requests a second by identity, of the endpoints that name a limit now.
+        Requests a second by identity, for the endpoints that have a limit now.
     """
 
     def __init__(self):
         self.limited = {}
-        self._words = {}
+        self._reports = {}
 
     def get(self, endpoint):
         """Return the newest ReportedLimit of an endpoint, or None."""
-        return self._words.get(endpoint)
+        return self._reports.get(endpoint)
 
     def list_limited(self):
-        """Return the ReportedLimits of endpoints that name a limit now."""
-        return [self._words[endpoint] for endpoint in self.limited]
+        """Return the ReportedLimits of the endpoints that have a limit now."""
+        return [self._reports[endpoint] for endpoint in self.limited]
 
-    def take(self, report):
-        """Take a word; return whether the endpoint's limit is another one now."""
-        held = self._words.get(report.endpoint)
-        if held is None and (report.per_second is None or self.is_full()):
+    def apply_report(self, report):
+        """Apply a report; return whether it changed the endpoint's limit."""
+        known = self._reports.get(report.endpoint)
+        if known is None and (report.per_second is None or self.is_full()):
             return False
-        if held is not None and not replaces(report, held):
+        if known is not None and not replaces(report, known):
             return False
-        self._words[report.endpoint] = report
+        self._reports[report.endpoint] = report
         if report.per_second is None:
             self.limited.pop(report.endpoint, None)
         else:
             self.limited[report.endpoint] = report.per_second
-        before = None if held is None or held.born != report.born else held.per_second
-        return report.per_second != before
+        previous = (
+            None if known is None or known.born != report.born else known.per_second
+        )
+        return report.per_second != previous
 
     def is_full(self):
-        """Tell whether no word of another endpoint is taken."""
-        return len(self._words) >= MOST_WORDS
+        """Return whether reports of further endpoints are rejected."""
+        return len(self._reports) >= MAX_REPORTS
 
-    def keep(self, lives):
-        """Forget the words of lives that are over; return them.
+    def keep(self, incarnations):
+        """Delete the reports of incarnations that have ended; return them.
 
         Parameters
         ----------
-        lives : dict
-            The life by identity of the endpoints that are there.
+        incarnations : dict
+            Current incarnation by identity of the registered endpoints.
         """
-        gone = [report for report in self._words.values() if is_over(report, lives)]
+        gone = [
+            report
+            for report in self._reports.values()
+            if is_superseded(report, incarnations)
+        ]
         for report in gone:
-            del self._words[report.endpoint]
+            del self._reports[report.endpoint]
             self.limited.pop(report.endpoint, None)
         return gone
 
-    def forget(self, now):
-        """Forget words that name no limit and are old, at a time."""
-        for endpoint, report in list(self._words.items()):
-            if report.per_second is None and now - report.latest > REMEMBERED_SECONDS:
-                del self._words[endpoint]
+    def expire(self, now):
+        """Delete reports without a limit that are older than `ENDED_LIMIT_SECONDS`."""
+        for endpoint, report in list(self._reports.items()):
+            if report.per_second is None and now - report.latest > ENDED_LIMIT_SECONDS:
+                del self._reports[endpoint]
 
 
-def is_over(report, lives):
-    """Tell whether another life has followed the one that said a word, or none."""
-    return lives.get(report.endpoint) != report.born
+def is_superseded(report, incarnations):
+    """Return whether the incarnation that sent a report is no longer registered."""
+    return incarnations.get(report.endpoint) != report.born
 
 
-def replaces(report, held):
-    """Tell whether a word counts in place of the one that is held.
+def replaces(report, known):
+    """Return whether a report replaces the known one.
 
     Notes
     -----
-    When an answer's head was written is known only to lie between its request and its
-    arrival. Of two words whose order isn't certain the stricter one counts: an answer
-    that was under way when the need began must not end it.
+    The header of a response was written at an unknown time between the start of the
+    request and the arrival of the response. If the order of two reports is uncertain,
+    the stricter one applies: a response that was in flight when the limit began must
+    not end it.
     """
-    if report.born != held.born:
-        return report.born > held.born
-    if report.earliest >= held.latest:
+    if report.born != known.born:
+        return report.born > known.born
+    if report.earliest >= known.latest:
         return True
-    return report.latest > held.earliest and report.is_stricter(held)
+    return report.latest > known.earliest and report.is_stricter(known)
--- a/packages/hingesill-core/hingesill_core/ratelimits/tests/limitsimulation.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/tests/limitsimulation.py
@@ -1,4 +1,4 @@
-"""Plays nodes that keep endpoints' limits in virtual time, without a network."""
+"""Simulation of nodes that enforce endpoints' limits, in virtual time."""
 
 import heapq
 import random
@@ -14,130 +14,134 @@
 
 SERVICE = "arena"
 WINDOW_SECONDS = 4.0
-WAY_SECONDS = 0.002
+TRANSIT_SECONDS = 0.002
 ROUND_SECONDS = 0.015
-NEWS_SECONDS = 0.5
-# Before the play the nodes have run for so long: what a start costs is over.
-START_SECONDS = 2.0
-# So long a request waits for a grant.
-PATIENCE_SECONDS = 0.2
+GOSSIP_INTERVAL_SECONDS = 0.5
+# Time that nodes run before the simulation, which completes the queries of their start.
+WARM_UP_SECONDS = 2.0
+# Time for which a request waits for a grant.
+REQUEST_TIMEOUT_SECONDS = 0.2
 
 
 class Scenario(Struct, frozen=True):
-    """What is played.
+    """Parameters of a simulation.
 
     Parameters
     ----------
     nodes, endpoints : int
-        How many; all endpoints are in need.
+        Number of nodes and of endpoints; all endpoints are limited.
     limit : float
-        That each endpoint names.
+        Limit of each endpoint in requests a second.
     rate : float
         Requests a second to all nodes together.
-    busy_share : float
-        Of the requests, those that come to the first node; the rest is even.
+    first_node_share : float
+        Share of the requests that always come to the first node; the rest is spread
+        evenly.
     loss : float
-        Of the datagrams.
+        Share of the datagrams that are lost.
     seconds : float
-        How long it is played.
-    shares_only : bool
-        Nodes say nothing to each other; each takes its part by chance.
-    rest : tuple of float
-        Between these times no request comes; then one to each node at once.
+        Duration of the simulation.
+    random_admission_only : bool
+        Nodes exchange no messages; each admits its share at random.
+    pause : tuple of float
+        Interval without requests, after which each node gets one at the same time.
     """
 
     nodes: int
     limit: float
     rate: float
     endpoints: int = 10
-    busy_share: float = 0.0
+    first_node_share: float = 0.0
     loss: float = 0.0
     seconds: float = 20.0
-    shares_only: bool = False
-    rest: tuple = (0.0, 0.0)
+    random_admission_only: bool = False
+    pause: tuple = (0.0, 0.0)
 
 
-class PlayedLimits:
-    """A node: its limits, and the requests that wait there."""
+class SimulatedNode:
+    """A node with its limits and its waiting requests."""
 
-    def __init__(self, play, address):
-        self.play = play
+    def __init__(self, simulation, address):
+        self.simulation = simulation
         self.address = address
-        self.fleet = FleetLimits(random.Random(play.rng.random()))
+        self.fleet = FleetLimits(random.Random(simulation.rng.random()))
         self.limits = self.fleet.get(SERVICE)
         self.limits.is_in_health = True
-        self.limits.grant_client.nodes = play.scenario.nodes
+        self.limits.grant_client.nodes = simulation.scenario.nodes
         self.waiting = []
         self.is_alive = True
-        self.is_ticking = False
-        self.refused_after = []
+        self.is_round_scheduled = False
+        self.refusal_delays = []
 
-    def hear(self, endpoint, limit, now):
-        """Take an endpoint's own answer."""
-        self.limits.note(endpoint, 0, ParsedLimit(limit), now, now)
+    def receive_report(self, endpoint, limit, now):
+        """Receive an endpoint's own response."""
+        self.limits.record(endpoint, 0, ParsedLimit(limit), now, now)
 
     def submit(self):
-        """Take a request."""
-        now = self.play.now
+        """Submit a request to the node."""
+        now = self.simulation.now
         self.limits.grant_client.record_request(now)
         self.waiting.append(now)
-        self.look()
+        self.run_round()
 
-    def look(self):
-        """Serve, ask for and refuse what waits."""
-        now = self.play.now
-        patience = max((PATIENCE_SECONDS + at - now for at in self.waiting), default=0)
-        self.limits.grant_client.want(len(self.waiting), patience, now)
+    def run_round(self):
+        """Send, request grants for, and refuse waiting requests."""
+        now = self.simulation.now
+        patience = max(
+            (REQUEST_TIMEOUT_SECONDS + at - now for at in self.waiting), default=0
+        )
+        self.limits.grant_client.request_grants(len(self.waiting), patience, now)
         for endpoint in list(self.limits.limited):
-            while self.waiting and self.limits.grant_client.held.find(endpoint, now):
-                self.limits.use(endpoint, now)
+            while self.waiting and self.limits.grant_client.grants.find(endpoint, now):
+                self.limits.consume_grant(endpoint, now)
                 self.waiting.pop(0)
-                self.play.note_send(endpoint)
-        untils = [at + PATIENCE_SECONDS for at in self.waiting]
-        surplus = set(self.limits.grant_client.list_surplus(untils, now))
-        surplus |= {i for i, until in enumerate(untils) if until < now}
-        self.refused_after += [now - self.waiting[i] for i in surplus]
+                self.simulation.record_send(endpoint)
+        deadlines = [at + REQUEST_TIMEOUT_SECONDS for at in self.waiting]
+        surplus = set(self.limits.grant_client.list_surplus(deadlines, now))
+        surplus |= {i for i, until in enumerate(deadlines) if until < now}
+        self.refusal_delays += [now - self.waiting[i] for i in surplus]
         self.waiting = [at for i, at in enumerate(self.waiting) if i not in surplus]
-        if self.waiting and not self.is_ticking:
-            self.is_ticking = True
-            self.play.after(ROUND_SECONDS, self._tick)
+        if self.waiting and not self.is_round_scheduled:
+            self.is_round_scheduled = True
+            self.simulation.after(ROUND_SECONDS, self._run_scheduled_round)
 
-    def _tick(self):
-        self.is_ticking = False
+    def _run_scheduled_round(self):
+        self.is_round_scheduled = False
         if self.is_alive:
-            self.look()
+            self.run_round()
 
     def run_gossip_round(self):
-        """Pass news on, again and again."""
+        """Run gossip rounds at regular intervals."""
         if self.is_alive:
-            self.fleet.run_gossip_round(self.play.now)
-            self.play.after(
-                NEWS_SECONDS * self.play.rng.uniform(0.8, 1.2), self.run_gossip_round
+            self.fleet.run_gossip_round(self.simulation.now)
+            self.simulation.after(
+                GOSSIP_INTERVAL_SECONDS * self.simulation.rng.uniform(0.8, 1.2),
+                self.run_gossip_round,
             )
 
 
 class LimitSimulation:
-    """A scenario, played.
+    """A simulation of a scenario.
 
     Parameters
     ----------
     scenario : Scenario
-        What happens.
+        The parameters.
     seed : int
-        Of all luck.
+        Seed of all random choices.
 
     Attributes
     ----------
     arrivals : dict
         Times of the requests at each endpoint.
     datagrams : int
-        That nodes sent.
+        Number of datagrams that nodes sent.
     """
 
     def __init__(self, scenario, seed=1):
         self.scenario = scenario
         self.rng = random.Random(seed)
-        self.now = -START_SECONDS
+        self.now = -WARM_UP_SECONDS
         self.arrivals = {f"i{n}": [] for n in range(scenario.endpoints)}
         self.datagrams = 0
         self._events = []
@@ -146,27 +150,27 @@
         self.nodes = {}
         for address in addresses:
             self.start_node(address)
-        if not scenario.shares_only:
-            self.list_nodes(addresses)
-        self.pass_time(0.0)
+        if not scenario.random_admission_only:
+            self.set_nodes(addresses)
+        self.run_until(0.0)
         self.datagrams = 0
 
     def start_node(self, address):
-        """Let a node start at an address, in place of one that was there."""
+        """Start a node at an address, in place of an earlier one."""
         if address in self.nodes:
             self.nodes[address].is_alive = False
-        node = self.nodes[address] = PlayedLimits(self, address)
+        node = self.nodes[address] = SimulatedNode(self, address)
         node.fleet.send = lambda to, message: self._send(node, to, message)
-        self.after(NEWS_SECONDS * self.rng.random(), node.run_gossip_round)
+        self.after(GOSSIP_INTERVAL_SECONDS * self.rng.random(), node.run_gossip_round)
         return node
 
-    def list_nodes(self, addresses, among=None):
-        """Let nodes, or some of them, believe that these are all."""
+    def set_nodes(self, addresses, among=None):
+        """Set the list of nodes that all nodes, or some of them, know."""
         for address in among or self.nodes:
             self.nodes[address].fleet.set_nodes(address, addresses)
 
     def after(self, seconds, call, *arguments):
-        """Do something later."""
+        """Schedule a call after a delay."""
         item = (self.now + seconds, next(self._order), call, arguments)
         heapq.heappush(self._events, item)
 
@@ -175,65 +179,69 @@
         if self.rng.random() < self.scenario.loss or not own.is_alive:
             return
         self.after(
-            WAY_SECONDS * self.rng.uniform(0.5, 1.5), self._take, own, to, message
+            TRANSIT_SECONDS * self.rng.uniform(0.5, 1.5),
+            self._deliver,
+            own,
+            to,
+            message,
         )
 
-    def _take(self, own, to, message):
+    def _deliver(self, own, to, message):
         node = self.nodes[to]
         if node.is_alive:
-            node.fleet.take(message, own.address, self.now)
+            node.fleet.handle_message(message, own.address, self.now)
 
-    def note_send(self, endpoint):
-        """Count a request that reaches an endpoint."""
+    def record_send(self, endpoint):
+        """Record a request that reaches an endpoint."""
         self.arrivals[endpoint].append(self.now)
 
-    def name(self, limit, among=None):
-        """Let all endpoints name a limit to all nodes, or to some of them."""
+    def report_limit(self, limit, among=None):
+        """Report a limit of all endpoints to all nodes, or to some of them."""
         for address in among or self.nodes:
             for endpoint in self.arrivals:
-                self.nodes[address].hear(endpoint, limit, self.now)
+                self.nodes[address].receive_report(endpoint, limit, self.now)
 
     def run(self, begin=0.0, seconds=None):
-        """Play requests for a while."""
+        """Simulate requests for a period."""
         scenario = self.scenario
         until = self.now + (seconds or scenario.seconds)
         self.after(0.0, self._submit, until)
-        if scenario.rest[1]:
+        if scenario.pause[1]:
             for node in self.nodes.values():
-                self.after(scenario.rest[1] - self.now, node.submit)
-        self.pass_time(until)
+                self.after(scenario.pause[1] - self.now, node.submit)
+        self.run_until(until)
 
-    def pass_time(self, until):
-        """Play until a time."""
+    def run_until(self, until):
+        """Run all events before a time."""
         while self._events and self._events[0][0] < until:
             self.now, _, call, arguments = heapq.heappop(self._events)
             call(*arguments)
         self.now = until
 
     def _submit(self, until):
-        """Send a request, and the next ones."""
+        """Submit a request and schedule the next one."""
         scenario = self.scenario
         self.after(self.rng.expovariate(scenario.rate), self._submit, until)
-        if scenario.rest[0] <= self.now < scenario.rest[1] or self.now >= until:
+        if scenario.pause[0] <= self.now < scenario.pause[1] or self.now >= until:
             return
         nodes = [node for node in self.nodes.values() if node.is_alive]
-        is_busy = self.rng.random() < scenario.busy_share
-        node = nodes[0] if is_busy else self.rng.choice(nodes)
+        is_at_first = self.rng.random() < scenario.first_node_share
+        node = nodes[0] if is_at_first else self.rng.choice(nodes)
         node.submit()
 
-    def count_worst(self, since=0.0):
-        """Return the most requests at one endpoint in any window."""
-        return max(count_most(times, since) for times in self.arrivals.values())
+    def find_max_window_count(self, since=0.0):
+        """Return the largest number of requests at one endpoint in any window."""
+        return max(find_max_count(times, since) for times in self.arrivals.values())
 
-    def measure_use(self, since=0.0):
-        """Return the part of what the limits allow that was used."""
+    def measure_utilization(self, since=0.0):
+        """Return the used share of the requests that the limits allow."""
         sent = sum(at >= since for times in self.arrivals.values() for at in times)
         allowed = self.scenario.limit * self.scenario.endpoints * (self.now - since)
         return sent / allowed
 
 
-def count_most(times, since):
-    """Return the most of some times in a window that begins later than a time."""
+def find_max_count(times, since):
+    """Return the largest number of times in any window after a start."""
     times = sorted(at for at in times if at >= since)
     return max(
         (bisect_left(times, at + WINDOW_SECONDS) - i for i, at in enumerate(times)),
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -142,7 +142,7 @@
             The time.
         """
         if named is not None:
-            self.limits.note(send.endpoint, send.born, named, send.started, now)
+            self.limits.record(send.endpoint, send.born, named, send.started, now)
 
     def get_latency(self, route):
         """Return how long the answers of a route take."""
@@ -271,7 +271,7 @@
         """Yield a Send for each held request that can go now."""
         if self.limits.limited:
             patience = max((t.deadline - now for t in self.queue), default=0.0)
-            self.limits.grant_client.want(len(self.queue), patience, now)
+            self.limits.grant_client.request_grants(len(self.queue), patience, now)
         for live in (True, False):
             while True:
                 ticket = self.queue.get_first(live)
@@ -388,7 +388,7 @@
             self.view.record_report(result.report)
         if result.limit is not None:
             limit = result.limit
-            self.limits.note(endpoint, state.born, limit, now, now, is_health=True)
+            self.limits.record(endpoint, state.born, limit, now, now, is_health=True)
         self.service_availability.note(
             endpoint, state.born, result.backoff, result.leaving, now
         )
--- a/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
+++ b/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
@@ -166,7 +166,7 @@
         self.sent[send] = None
         self.last_send_at = now
         if self.limits is not None:
-            self.limits.use(self.identity, now)
+            self.limits.consume_grant(self.identity, now)
         self.common.turns += 1
         self.turn = self.common.turns
         if self.health.is_trial_due(now):
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -256,7 +256,7 @@
                 self.unhealthy_reports.note(reply.is_unhealthy)
             if reply.limit is not None and reply.sent_at is not None:
                 limit, sent_at = reply.limit, reply.sent_at
-                self.limits.note(
+                self.limits.record(
                     reply.endpoint, state.born, limit, sent_at, now, is_health=True
                 )
             if reply.warm_in is not None:
--- a/packages/hingesill-core/hingesill_core/routing/limitedrequests.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedrequests.py
@@ -34,7 +34,7 @@
         dispatcher.limits.grant_client.record_request(now)
         tickets = [*dispatcher.queue, ticket]
         patience = ticket.deadline - now
-        dispatcher.limits.grant_client.want(len(tickets), patience, now)
+        dispatcher.limits.grant_client.request_grants(len(tickets), patience, now)
         return ticket in self.list_surplus([(t, t.deadline) for t in tickets], now)
 
     def list_surplus(self, waiting, now):
--- a/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
@@ -50,7 +50,7 @@
             for item in waiting
         )
         patience = max((item.late_at - now for item in waiting), default=0.0)
-        self._grant_client.want(needing, max(patience, SOON_SECONDS), now)
+        self._grant_client.request_grants(needing, max(patience, SOON_SECONDS), now)
 
     def list_surplus(self, now):
         """Return the waiting tickets that will get no grant in time.
--- a/packages/hingesill-core/hingesill_core/routing/tests/loadsimulation.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/loadsimulation.py
@@ -111,7 +111,7 @@
 
     def _hear_limits(self, node, message, sender):
         if node.is_alive:
-            node.fleet_limits.take(message, sender, self.now)
+            node.fleet_limits.handle_message(message, sender, self.now)
 
     def _tell_limits(self, node):
         if node.is_alive and self.now <= self.load.seconds:
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
@@ -124,7 +124,7 @@
         self.assertLessEqual(before, 2 * 0.5 * 6.0 + 2)
 
     def test_without_a_need_nothing_is_asked_for(self):
-        self.limits.grant_client.want = None
+        self.limits.grant_client.request_grants = None
         self.assertIsInstance(self.send(1.0), Send)
         self.binding.next_query(1.1)
 
@@ -136,7 +136,7 @@
 
     def name_all(self, limit, at=0.0):
         for endpoint in ("i0", "i1"):
-            self.limits.note(endpoint, 0, ParsedLimit(limit), at, at + 0.01)
+            self.limits.record(endpoint, 0, ParsedLimit(limit), at, at + 0.01)
 
     def test_all_are_in_need(self):
         self.name_all(2.0)
@@ -155,6 +155,6 @@
         self.assertGreater(refused, 0)
 
     def test_one_is_in_need(self):
-        self.limits.note("i0", 0, ParsedLimit(0.0), 0.0, 0.01)
+        self.limits.record("i0", 0, ParsedLimit(0.0), 0.0, 0.01)
         sends = [self.submit(1.0 + number) for number in range(2)]
         self.assertEqual({send.endpoint for send in sends}, {"i1"})
--- a/packages/hingesill-core/hingesill_core/routing/warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/warmup.py
@@ -117,4 +117,4 @@
             state.record_warm_up(state.entered_warm_in, now)
         if now >= state.warm_at:
             return True
-        return state.cold_share.take(self.rate, self.nodes, now, rng)
+        return state.cold_share.admit(self.rate, self.nodes, now, rng)
--- a/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
@@ -47,7 +47,7 @@
         """Begin, given the IP number and port of the node's own control address."""
         self.own = own
         self.limits.send = self._send
-        self.limits.refresh = self._note_nodes
+        self.limits.refresh_nodes = self._note_nodes
         self.port.register(MARK, self.take)
         self._note_nodes()
         eventlet.spawn(self._work)
@@ -75,7 +75,7 @@
         now = self.runners.clock()
         if now - self._noted_at > GOSSIP_INTERVAL_SECONDS:
             self._note_nodes()
-        self.limits.take(message, sender, now)
+        self.limits.handle_message(message, sender, now)
 
     def _complain(self, detail, sender):
         now = self.runners.clock()
@@ -109,7 +109,7 @@
         a limit of 0 no answer to a request could ever tell that the need is over.
         """
         for limits in list(self.limits.services.values()):
-            if limits.limited and limits.is_in_health and limits.is_first():
+            if limits.limited and limits.is_in_health and limits.is_primary():
                 self.runners.query_load(limits.name, limits.list_stale(now))
 
 
--- a/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/tests/test_datagrams.py
@@ -114,7 +114,7 @@
             return sock.getsockname()
 
     def start(self, own, addresses):
-        limits = FleetLimits(random.Random(1), knows=lambda name: name == "arena")
+        limits = FleetLimits(random.Random(1), is_declared=lambda name: name == "arena")
         port = DatagramPort(self.counters)
         port.start("%s:%d" % own)
         others = [address for address in addresses if address != own]
@@ -131,22 +131,22 @@
     def test_a_node_that_is_not_the_coordinator_gets_grants(self):
         now = Runners(None).clock()
         for node in self.nodes:
-            node.get("arena").note("i1", 1, ParsedLimit(50.0), now, now)
-        client = next(n for n in self.nodes if not n.get("arena").is_first())
+            node.get("arena").record("i1", 1, ParsedLimit(50.0), now, now)
+        client = next(n for n in self.nodes if not n.get("arena").is_primary())
         limits = client.get("arena")
-        limits.grant_client.want(3, 0.5, now)
-        self.wait(lambda: limits.grant_client.held.count(Runners(None).clock()) == 3)
+        limits.grant_client.request_grants(3, 0.5, now)
+        self.wait(lambda: limits.grant_client.grants.count(Runners(None).clock()) == 3)
 
     def test_one_tells_the_others(self):
         now = Runners(None).clock()
-        self.nodes[0].get("arena").note("i1", 1, ParsedLimit(2.5), now, now)
+        self.nodes[0].get("arena").record("i1", 1, ParsedLimit(2.5), now, now)
         self.wait(lambda: all(n.get("arena").limited for n in self.nodes))
 
     def test_services_that_are_not_declared_are_passed_over(self):
         now = Runners(None).clock()
         record = LimitRecord("other", "i1", 1, 2.5, 0.0, 0.0)
-        self.nodes[0].take(LimitUpdate((record,)), ("127.0.0.1", 1), now)
-        self.nodes[0].take(GrantRequest(1, "other", 1), ("127.0.0.1", 1), now)
+        self.nodes[0].handle_message(LimitUpdate((record,)), ("127.0.0.1", 1), now)
+        self.nodes[0].handle_message(GrantRequest(1, "other", 1), ("127.0.0.1", 1), now)
         self.assertEqual(list(self.nodes[0].services), [])
 
     def test_bytes_that_are_no_message_change_nothing(self):
@@ -155,5 +155,5 @@
         for data in (b"", MARK, MARK * 2000, encode_message(MESSAGES[1])[:9]):
             sock.sendto(data, self.nodes[0].own)
         now = Runners(None).clock()
-        self.nodes[1].get("arena").note("i1", 1, ParsedLimit(2.5), now, now)
+        self.nodes[1].get("arena").record("i1", 1, ParsedLimit(2.5), now, now)
         self.wait(lambda: self.nodes[0].get("arena").limited)
