--- a/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
@@ -51,7 +51,7 @@
         """Start, given the IP number and port of the node's own control address."""
         self.own = own
         self.limits.send = self._send
-        self.limits.refresh = self._refresh_nodes
+        self.limits.refresh_nodes = self._refresh_nodes
         self.port.register(LIMIT_PREFIX, self.handle_datagram)
         self._refresh_nodes()
         eventlet.spawn(self._run_rounds)
@@ -79,7 +79,7 @@
         now = self.runners.clock()
         if now - self._refreshed_at > GOSSIP_INTERVAL_SECONDS:
             self._refresh_nodes()
-        self.limits.take(message, sender, now)
+        self.limits.handle_message(message, sender, now)
 
     def _log_invalid(self, detail, sender):
         now = self.runners.clock()
@@ -113,7 +113,7 @@
         request can report the end of the limit. One node queries on behalf of all.
         """
         for limits in list(self.limits.services.values()):
-            if limits.limited and limits.is_in_health and limits.is_first():
+            if limits.limited and limits.is_in_health and limits.is_primary():
                 self.runners.query_load(limits.name, limits.list_stale(now))
 
 
