--- a/packages/hingesill-core/hingesill_core/configuration/__init__.py
+++ b/packages/hingesill-core/hingesill_core/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Declarations, the change log that carries them and the state it adds up to."""
+"""Service declarations, the change log that stores them, and the resulting state."""
--- a/packages/hingesill-core/hingesill_core/configuration/addresses.py
+++ b/packages/hingesill-core/hingesill_core/configuration/addresses.py
@@ -1,4 +1,4 @@
-"""Names and addresses as operators write them."""
+"""Formats of names and addresses in declarations."""
 
 import ipaddress
 import re
@@ -10,11 +10,13 @@
 
 
 def check_address(value):
-    """Check an IP number with a port; names are not looked up."""
+    """Validate an IP number with a port, without a name lookup."""
     match = ADDRESS.match(value)
     if match is None:
-        raise ValueError("an address is an IP number and a port, as 10.0.0.1:8080")
+        raise ValueError(
+            "an address consists of an IP number and a port, such as 10.0.0.1:8080"
+        )
     ipaddress.ip_address(match.group(1) or match.group(2))
     if not 0 < int(match.group(3)) < 65536:
-        raise ValueError("a port lies between 1 and 65535")
+        raise ValueError("a port is between 1 and 65535")
     return value
--- a/packages/hingesill-core/hingesill_core/configuration/changelog.py
+++ b/packages/hingesill-core/hingesill_core/configuration/changelog.py
@@ -1,9 +1,8 @@
-"""The change log in the store: one key to append to, sealed segments behind it.
+"""The change log in the store: an appendable tail key and immutable segments.
 
-Accepting a change is one CAS of the tail key, whatever the number of services
-it touches, so every change has one place in one order. A tail that has grown
-long is first copied to a segment key that nobody changes afterwards, and the
-next tail points back to it.
+A change is accepted by one CAS of the tail key, whatever the number of services that it
+contains, so all changes are in one total order. A tail that has reached its maximum
+size is first copied to an immutable segment key, and the next tail refers to that key.
 """
 
 from enum import Enum
@@ -24,13 +23,13 @@
     "Rejection",
 ]
 
-TAIL_BYTES = 8 * 1024
-MAX_RACES = 8
-MOST_ENTRY_BYTES = 500_000
+MAX_TAIL_BYTES = 8 * 1024
+MAX_WRITE_ATTEMPTS = 8
+MAX_ENTRY_BYTES = 500_000
 
 
 class Rejection(str, Enum):
-    """Why a change was not accepted."""
+    """Reason for which a change was not accepted."""
 
     CONFLICT = "conflict"
     UNAVAILABLE = "store-unavailable"
@@ -41,30 +40,30 @@
 
 
 class ChangeRequest(Struct, frozen=True):
-    """A change that an author asks for.
+    """A change that an author requests.
 
     Parameters
     ----------
     operation_id : str
-        Chosen by the author; the change takes effect once for each id.
+        Idempotency key, chosen by the author.
     author : str
-        Who asks.
+        Name of the author.
     changes : tuple of ServiceChange
-        Accepted together or not at all.
+        Changes that are accepted together or not at all.
     expected : tuple of int
-        For each change, the version of the service that the author saw.
-    find_faults : callable or None
-        Given the newest replica and the changes, returns findings.
+        Version of the service that the author saw, for each change.
+    validate : callable or None
+        Returns the findings, given the newest replica and the changes.
     """
 
     operation_id: str
     author: str
     changes: tuple
     expected: tuple
-    find_faults: object = None
+    validate: object = None
 
-    def find_stale(self, replica):
-        """Return the services that have another version than expected."""
+    def find_conflicts(self, replica):
+        """Return the services whose version differs from the expected one."""
         return [
             change.service
             for change, version in zip(self.changes, self.expected)
@@ -73,14 +72,14 @@
 
 
 class Accepted(Struct, frozen=True):
-    """The change stands in the store under this revision."""
+    """The change is in the store under this revision."""
 
     revision: int
     repeated: bool = False
 
 
 class Rejected(Struct, frozen=True):
-    """The change was not accepted, or it is not known whether it was."""
+    """The change was not accepted, or the outcome is unknown."""
 
     reason: Rejection
     detail: str = ""
@@ -88,14 +87,14 @@
 
 
 class ChangeLog:
-    """Reads and appends to the change log through a store.
+    """Reads and appends to the change log in a store.
 
     Parameters
     ----------
     store : Store
-        The platform's service.
+        The platform's key-value service.
     team : str
-        First part of all keys.
+        Prefix of all keys.
     """
 
     def __init__(self, store, team):
@@ -123,28 +122,28 @@
             return StoreFailure(str(error))
 
     def catch_up(self, replica, tail):
-        """Bring a replica up to a tail, through segments or a snapshot.
+        """Bring a replica up to a tail with the log's segments or a snapshot.
 
         Returns
         -------
         Applied or StoreFailure
-            APPLIED or ALREADY_HELD when the replica is at the tail's revision;
-            OLDER if the store is behind the replica; FORKED if they are not of
-            one log.
+            APPLIED or ALREADY_HELD if the replica is at the tail's revision now; OLDER
+            if the store is behind the replica; FORKED if the two belong to different
+            change logs.
         """
         if tail.revision < replica.revision:
             return Applied.OLDER
-        missing = [tail]
-        while missing[-1].base > replica.revision:
-            before = self._read_before(replica, missing[-1])
-            if isinstance(before, (StoreFailure, Applied)):
-                return before
-            if before is not None:
-                missing.append(before)
-        return self._apply_all(replica, reversed(missing), tail)
-
-    def _read_before(self, replica, tail):
-        """Return the segment before a tail; None if a snapshot took its place."""
+        segments = [tail]
+        while segments[-1].base > replica.revision:
+            previous = self._read_previous(replica, segments[-1])
+            if isinstance(previous, (StoreFailure, Applied)):
+                return previous
+            if previous is not None:
+                segments.append(previous)
+        return self._apply_all(replica, reversed(segments), tail)
+
+    def _read_previous(self, replica, tail):
+        """Return the segment before a tail; None if a snapshot was loaded instead."""
         answer = self._decode(self.store.get(tail.segment))
         if isinstance(answer, Tail) and answer.entries:
             return answer
@@ -152,7 +151,9 @@
             return answer
         loaded = self.snapshots.load(replica)
         if loaded is not Applied.APPLIED:
-            return StoreFailure(f"the segment {tail.segment} is gone, no snapshot")
+            return StoreFailure(
+                f"the segment {tail.segment} is missing and there is no snapshot"
+            )
         return None
 
     def _apply_all(self, replica, segments, tail):
@@ -169,56 +170,56 @@
         return outcome
 
     def append(self, replica, request, is_in_time):
-        """Accept a change, or find that it was accepted before.
+        """Append a change, unless the log contains its operation already.
 
         Parameters
         ----------
         replica : Replica
-            Brought up to the log on the way.
+            Replica that is brought up to the log in the process.
         request : ChangeRequest
             The change with the versions that its author saw.
         is_in_time : callable
-            Tells whether there is time for another call.
+            Returns whether there is time for another call of the store.
 
         Returns
         -------
         Accepted or Rejected
-            UNKNOWN only if a write may have taken effect and could not be read
-            back in time.
+            UNKNOWN only if a write may have taken effect and could not be read back in
+            time.
         """
-        exposed = False
-        for _ in range(MAX_RACES):
-            ready = self._prepare(replica, request, exposed)
-            if not isinstance(ready, Tail):
-                return ready
-            written = self._write(ready)
+        may_have_run = False
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            next_tail = self._prepare(replica, request, may_have_run)
+            if not isinstance(next_tail, Tail):
+                return next_tail
+            written = self._write(next_tail)
             if isinstance(written, Written):
-                replica.apply(ready.entries[-1])
+                replica.apply(next_tail.entries[-1])
                 return Accepted(replica.revision)
             if isinstance(written, StoreFailure):
-                exposed = exposed or written.may_have_run
+                may_have_run = may_have_run or written.may_have_run
                 if not is_in_time():
-                    return self._explain_failure(exposed, written.reason)
-        return self._explain_failure(exposed, "too many racing writers")
+                    return self._explain_failure(may_have_run, written.reason)
+        return self._explain_failure(may_have_run, "too many concurrent writers")
 
-    def _prepare(self, replica, request, exposed):
-        """Return the next Tail to write, or what ends the call."""
+    def _prepare(self, replica, request, may_have_run):
+        """Return the next Tail to write, or the result of the call."""
         tail = self.read_tail()
         if isinstance(tail, StoreFailure):
-            return self._explain_failure(exposed, tail.reason)
+            return self._explain_failure(may_have_run, tail.reason)
         caught_up = self.catch_up(replica, tail)
         if isinstance(caught_up, StoreFailure):
-            return self._explain_failure(exposed, caught_up.reason)
+            return self._explain_failure(may_have_run, caught_up.reason)
         if caught_up in (Applied.OLDER, Applied.FORKED):
             return Rejected(Rejection.STORE_BEHIND, caught_up.value)
-        known = replica.find_operation(request.operation_id)
-        if known is not None:
-            return Accepted(known, repeated=True)
-        stale = request.find_stale(replica)
-        if stale:
-            return Rejected(Rejection.CONFLICT, ", ".join(stale))
-        if request.find_faults is not None:
-            findings = tuple(request.find_faults(replica, request.changes))
+        accepted_revision = replica.find_operation(request.operation_id)
+        if accepted_revision is not None:
+            return Accepted(accepted_revision, repeated=True)
+        conflicts = request.find_conflicts(replica)
+        if conflicts:
+            return Rejected(Rejection.CONFLICT, ", ".join(conflicts))
+        if request.validate is not None:
+            findings = tuple(request.validate(replica, request.changes))
             if findings:
                 return Rejected(Rejection.INVALID, "see the findings", findings)
         entry = Entry(
@@ -228,57 +229,59 @@
             request.author,
             request.changes,
         )
-        if len(encode_entry(entry)) > MOST_ENTRY_BYTES:
-            return Rejected(Rejection.TOO_LARGE, "split the change")
-        return self._extend(tail, entry, exposed)
-
-    def _extend(self, tail, entry, exposed):
-        """Return the tail with one more entry, sealing it first if it is long."""
-        if len(encode_tail(tail)) < TAIL_BYTES or not tail.entries:
+        if len(encode_entry(entry)) > MAX_ENTRY_BYTES:
+            return Rejected(
+                Rejection.TOO_LARGE, "the change is too large for one entry; split it"
+            )
+        return self._extend(tail, entry, may_have_run)
+
+    def _extend(self, tail, entry, may_have_run):
+        """Return the tail with one more entry, sealing it first if it is full."""
+        if len(encode_tail(tail)) < MAX_TAIL_BYTES or not tail.entries:
             entries = tail.entries + (entry,)
             return Tail(tail.base, tail.chain, tail.segment, entries, tail.version)
         key = f"{self.segment_prefix}/{tail.base:012d}-{tail.last_chain}"
         sealed = self.store.put(key, encode_tail(tail), 0)
         if isinstance(sealed, StoreFailure):
-            return self._explain_failure(exposed, sealed.reason)
+            return self._explain_failure(may_have_run, sealed.reason)
         return Tail(tail.revision, tail.last_chain, key, (entry,), tail.version)
 
     def _write(self, tail):
         return self.store.put(self.tail_key, encode_tail(tail), tail.version)
 
-    def _explain_failure(self, exposed, detail):
-        reason = Rejection.UNKNOWN if exposed else Rejection.UNAVAILABLE
+    def _explain_failure(self, may_have_run, detail):
+        reason = Rejection.UNKNOWN if may_have_run else Rejection.UNAVAILABLE
         return Rejected(reason, detail)
 
     def truncate_before(self, snapshot):
-        """Delete an old snapshot and the segments that it holds already.
+        """Delete an old snapshot and the segments that it covers.
 
         Parameters
         ----------
         snapshot : Snapshot
-            The one before the newest.
+            The snapshot before the newest one.
 
         Returns
         -------
         int or StoreFailure
-            How many keys were deleted.
+            Number of deleted keys.
         """
         tail = self.read_tail()
         if isinstance(tail, StoreFailure):
             return tail
-        old = list(snapshot.list_keys())
+        obsolete_keys = list(snapshot.list_keys())
         while tail.segment:
             key = tail.segment
             tail = self._decode(self.store.get(key))
             if isinstance(tail, StoreFailure):
                 return tail
             if not tail.entries:
-                break  # It was deleted earlier, and so were those before it.
+                break  # This segment and those before it were deleted earlier.
             if tail.revision <= snapshot.revision:
-                old.append(key)
-        # The oldest first: a walk that is cut short leaves no gap behind it.
-        for key in reversed(old):
+                obsolete_keys.append(key)
+        # The oldest keys are deleted first, so that an interruption leaves no gap.
+        for key in reversed(obsolete_keys):
             deleted = self.store.delete(key)
             if isinstance(deleted, StoreFailure):
                 return deleted
-        return len(old)
+        return len(obsolete_keys)
--- a/packages/hingesill-core/hingesill_core/configuration/declaration.py
+++ b/packages/hingesill-core/hingesill_core/configuration/declaration.py
@@ -1,4 +1,4 @@
-"""What operators declare, as models that are checked at the border."""
+"""Models of declarations, which are validated when they enter the system."""
 
 from typing import Annotated, Literal
 
@@ -13,7 +13,7 @@
 
 from hingesill_core.configuration.addresses import NAME, check_address
 from hingesill_core.configuration.services import (
-    MOST_SENDS,
+    DEFAULT_MAX_SENDS,
     Endpoint,
     ProbeBudget,
     Route,
@@ -35,14 +35,14 @@
 MAX_ROUTES = 200
 
 
-class Strict(BaseModel):
-    """A model that refuses fields it does not know."""
+class StrictModel(BaseModel):
+    """A model that rejects unknown fields."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class EndpointDeclaration(Strict):
-    """One endpoint of a service."""
+class EndpointDeclaration(StrictModel):
+    """Declaration of an endpoint of a service."""
 
     address: Annotated[str, AfterValidator(check_address)]
     data_centre: str = Field(pattern=NAME)
@@ -50,8 +50,8 @@
     connections: int = Field(default=200, ge=1, le=100_000)
 
 
-class RouteDeclaration(Strict):
-    """Requests of one method below one path prefix."""
+class RouteDeclaration(StrictModel):
+    """Declaration of a route: requests of one method below a path prefix."""
 
     method: Literal[METHODS]
     path: str = Field(pattern=r"^/[^?#\s]*$", max_length=512)
@@ -60,11 +60,11 @@
     timeout_ms: int = Field(default=1000, ge=1, le=600_000)
     host: str = Field(default="", max_length=253)
     target_ms: int = Field(default=0, ge=0, le=600_000)
-    most_sends: int = Field(default=MOST_SENDS, ge=1, le=10)
+    most_sends: int = Field(default=DEFAULT_MAX_SENDS, ge=1, le=10)
 
 
-class ProbeDeclaration(Strict):
-    """How much measuring may cost, over the whole fleet."""
+class ProbeDeclaration(StrictModel):
+    """Budget of the probes of a service, for the whole fleet."""
 
     per_second: float = Field(default=0.0, ge=0, le=10_000)
     window_s: float = Field(default=10.0, ge=1, le=300)
@@ -73,15 +73,15 @@
     path: str = Field(default="/health", pattern=r"^/[^?#\s]*$", max_length=512)
 
 
-class SendDeclaration(Strict):
-    """How many sends beyond the first a request may cost on average."""
+class SendDeclaration(StrictModel):
+    """Budget of retries and hedges, as average shares of the requests."""
 
     hedge_share: float = Field(default=0.04, ge=0, le=0.5)
     retry_share: float = Field(default=0.02, ge=0, le=0.5)
 
 
-class ServiceDeclaration(Strict):
-    """A service with its endpoints and routes."""
+class ServiceDeclaration(StrictModel):
+    """Declaration of a service with its endpoints and routes."""
 
     service: str = Field(pattern=NAME)
     policy: str = "expected_wait"
@@ -97,30 +97,30 @@
     def check_policy(cls, value):
         """Check that the policy is registered."""
         if POLICIES.get(value) is None:
-            raise ValueError(f"one of {', '.join(POLICIES.list_names())}")
+            raise ValueError(f"must be one of {', '.join(POLICIES.list_names())}")
         return value
 
     @field_validator("endpoints")
     @classmethod
     def check_endpoints(cls, value):
-        """Check that no endpoint stands twice."""
-        reject_repeated([endpoint.address for endpoint in value], "the endpoint")
+        """Check that no endpoint is declared twice."""
+        reject_duplicates([endpoint.address for endpoint in value], "the endpoint")
         return value
 
     @field_validator("routes")
     @classmethod
     def check_routes(cls, value):
-        """Check that no route stands twice."""
-        reject_repeated([f"{r.method} {r.path}" for r in value], "the route")
+        """Check that no route is declared twice."""
+        reject_duplicates([f"{r.method} {r.path}" for r in value], "the route")
         return value
 
 
-def reject_repeated(values, kind):
-    """Raise ValueError if one of the values stands twice."""
+def reject_duplicates(values, kind):
+    """Raise ValueError if a value occurs twice."""
     seen = set()
     for value in values:
         if value in seen:
-            raise ValueError(f"{kind} {value} stands twice")
+            raise ValueError(f"{kind} {value} is declared twice")
         seen.add(value)
 
 
@@ -130,11 +130,11 @@
     Parameters
     ----------
     raw : object
-        What the file or the call held.
+        Parsed content of a file or a call.
     findings : Findings
-        Collects what is wrong.
+        Receives the findings.
     place : str
-        Put before the path of each finding.
+        Prefix of the place of each finding.
 
     Returns
     -------
@@ -151,7 +151,7 @@
 
 
 def parse_declaration(document, findings, place=""):
-    """Validate a declaration that is given as JSON bytes."""
+    """Parse and validate a declaration in JSON bytes."""
     try:
         return ServiceDeclaration.model_validate_json(document)
     except ValidationError as error:
@@ -162,7 +162,7 @@
 
 
 def build_service(declaration):
-    """Turn a validated declaration into the data class that decisions use."""
+    """Return the Service of a validated declaration."""
     name = declaration.service
     probes = declaration.probes
     return Service(
@@ -187,7 +187,7 @@
 
 
 def build_route(service, declaration):
-    """Turn a declared route into the data class that decisions use."""
+    """Return the Route of a declared route."""
     return Route(
         service=service,
         method=declaration.method,
--- a/packages/hingesill-core/hingesill_core/configuration/files.py
+++ b/packages/hingesill-core/hingesill_core/configuration/files.py
@@ -1,4 +1,4 @@
-"""Declaration files: YAML with several services a file, findings with lines."""
+"""Declaration files: YAML with several services per file, findings with lines."""
 
 from pathlib import Path
 
@@ -23,18 +23,18 @@
     Returns
     -------
     declarations : list of ServiceDeclaration
-        Those that are valid.
+        The valid declarations.
     findings : Findings
-        What is wrong, each with its file and line.
+        The findings, each with its file and line.
     """
     findings = Findings()
     declarations = []
-    places = {}
+    locations = {}
     for file in list_files(Path(path), findings):
-        for place, declaration in read_file(file, findings):
-            record_service(declaration, place, places, findings)
+        for location, declaration in read_file(file, findings):
+            record_service(declaration, location, locations, findings)
             declarations.append(declaration)
-    check_routes_across(declarations, findings)
+    check_route_conflicts(declarations, findings)
     return declarations, findings
 
 
@@ -43,22 +43,22 @@
     if path.is_dir():
         files = sorted(f for f in path.iterdir() if f.suffix in SUFFIXES)
         if not files:
-            findings.add(str(path), "holds no YAML file")
+            findings.add(str(path), "contains no YAML file")
         yield from files
     elif path.is_file():
         yield path
     else:
-        findings.add(str(path), "there is no such file or folder")
+        findings.add(str(path), "no such file or folder")
 
 
 def read_file(file, findings):
-    """Yield each valid declaration of a file with its place."""
+    """Yield each valid declaration of a file with its location."""
     try:
         text = file.read_text(encoding="utf-8")
         nodes = list(yaml.compose_all(text, Loader=yaml.SafeLoader))
         values = list(yaml.safe_load_all(text))
     except (OSError, UnicodeDecodeError) as error:
-        findings.add(str(file), f"could not be read: {error}")
+        findings.add(str(file), f"cannot be read: {error}")
         return
     except yaml.YAMLError as error:
         mark = getattr(error, "problem_mark", None)
@@ -69,12 +69,12 @@
         local = Findings()
         declaration = validate_declaration(value, local)
         for finding in local:
-            findings.items.append(place_in_file(file, node, finding))
+            findings.items.append(locate_in_file(file, node, finding))
         if declaration is not None:
             yield f"{file}:{node.start_mark.line + 1}", declaration
 
 
-def place_in_file(file, node, finding):
+def locate_in_file(file, node, finding):
     """Add file and line to a finding whose place is a dotted path."""
     line = node.start_mark.line + 1 if node else 1
     for part in finding.place.split("."):
@@ -97,17 +97,18 @@
     return None
 
 
-def record_service(declaration, place, places, findings):
-    """Report a service that two declarations name."""
-    first = places.setdefault(declaration.service, place)
-    if first != place:
+def record_service(declaration, location, locations, findings):
+    """Record the location of a service; report a second declaration."""
+    first = locations.setdefault(declaration.service, location)
+    if first != location:
         findings.add(
-            place, f"the service {declaration.service} is declared at {first} too"
+            location,
+            f"the service {declaration.service} is declared at {first} as well",
         )
 
 
-def check_routes_across(declarations, findings):
-    """Report a route that two services claim."""
+def check_route_conflicts(declarations, findings):
+    """Report routes that two services declare."""
     owners = {}
     for declaration in declarations:
         for index, route in enumerate(declaration.routes):
@@ -116,5 +117,5 @@
             if owner != declaration.service:
                 findings.add(
                     f"{declaration.service}.routes.{index}",
-                    f"{route.method} {route.path} belongs to {owner} already",
+                    f"{route.method} {route.path} is declared by {owner} already",
                 )
--- a/packages/hingesill-core/hingesill_core/configuration/log.py
+++ b/packages/hingesill-core/hingesill_core/configuration/log.py
@@ -1,9 +1,9 @@
-"""The change log: entries in one order, each bound to the one before it.
+"""Entries of the change log in one order, each linked to the previous one.
 
-An accepted change is one entry. Its revision is one more than the entry's
-before it, and the version of a service is the revision of the last entry that
-touched it. The chain digest binds an entry to all earlier ones, so that a
-store which was put back to an older state and then written to is recognised.
+An entry is one accepted change. Its revision is the previous entry's revision plus one,
+and the version of a service is the revision of the last entry that changed it. The hash
+chain links an entry to all earlier ones, which reveals a store that was restored from
+an older copy and then written to.
 """
 
 import hashlib
@@ -18,7 +18,7 @@
 
 
 class ServiceChange(Struct, frozen=True):
-    """The new declaration of a service; None leaves a tombstone."""
+    """The new declaration of a service; None is a tombstone."""
 
     service: str
     document: str | None
@@ -34,13 +34,13 @@
     changes: tuple[ServiceChange, ...]
 
     def compute_chain(self):
-        """Return the digest of the log up to and with this entry."""
+        """Return the digest of the log up to and including this entry."""
         digest = hashlib.blake2b(encode_entry(self), digest_size=CHAIN_BYTES)
         return digest.hexdigest()
 
 
 def encode_entry(entry):
-    """Return the entry as JSON bytes; equal entries give equal bytes."""
+    """Return the entry as JSON bytes; equal entries have equal bytes."""
     return json.dumps(
         [
             entry.revision,
@@ -54,12 +54,12 @@
 
 
 def decode_entry(encoded):
-    """Return the entry that JSON bytes hold.
+    """Return the entry in JSON bytes.
 
     Raises
     ------
     ValueError
-        If the bytes hold no entry.
+        If the bytes contain no entry.
     """
     try:
         revision, previous, operation_id, author, changes = json.loads(encoded)
--- a/packages/hingesill-core/hingesill_core/configuration/route_table.py
+++ b/packages/hingesill-core/hingesill_core/configuration/route_table.py
@@ -1,4 +1,4 @@
-"""Which route a request takes: the longest path prefix of its host and method."""
+"""Route lookup: the longest path prefix for a request's host and method."""
 
 __all__ = ["RouteTable"]
 
@@ -6,20 +6,19 @@
 
 
 class RouteTable:
-    """All routes of a configuration, built once a configuration.
+    """All routes of a configuration, built once per configuration.
 
     Parameters
     ----------
     routes : iterable of Route
-        The routes in force.
+        Routes of the current configuration.
 
     Notes
     -----
-    A prefix ends at a path segment: ``/moves`` covers ``/moves`` and
-    ``/moves/7`` but not ``/movers``; ``/moves/`` covers ``/moves/7`` but not
-    ``/moves``. A look-up costs a few dictionary accesses a segment of the
-    path, whatever the number of routes. Routes of the request's host go before
-    those of all hosts.
+    A prefix ends at a path segment: ``/moves`` covers ``/moves`` and ``/moves/7`` but
+    not ``/movers``; ``/moves/`` covers ``/moves/7`` but not ``/moves``. A lookup costs
+    a few dictionary accesses per segment of the path, whatever the number of routes.
+    Routes of the request's host take precedence over routes of all hosts.
     """
 
     def __init__(self, routes):
@@ -35,23 +34,23 @@
         Parameters
         ----------
         method : str
-            In capitals.
+            HTTP method in capitals.
         path : str
-            Without the query.
+            Path without the query.
         host : str
-            The ``Host`` header.
+            Value of the ``Host`` header.
         """
-        for known in dict.fromkeys((host.lower(), ANY)):
-            if known in self._hosts:
-                route = self._find_prefix(known, method, path)
+        for candidate in dict.fromkeys((host.lower(), ANY)):
+            if candidate in self._hosts:
+                route = self._find_prefix(candidate, method, path)
                 if route is not None:
                     return route
         return None
 
     def _find_prefix(self, host, method, path):
         for prefix in list_prefixes(path):
-            for known in (method, ANY):
-                route = self._routes.get((host, known, prefix))
+            for candidate in (method, ANY):
+                route = self._routes.get((host, candidate, prefix))
                 if route is not None:
                     return route
         return None
--- a/packages/hingesill-core/hingesill_core/configuration/routes.py
+++ b/packages/hingesill-core/hingesill_core/configuration/routes.py
@@ -1,4 +1,4 @@
-"""Routes that two services claim: checked against everything that is held."""
+"""Detection of routes that two services declare, over all known declarations."""
 
 import json
 from functools import lru_cache
@@ -7,16 +7,17 @@
 
 __all__ = ["find_route_conflicts"]
 
-MOST_DECLARATIONS = 4096
+MAX_CACHED_DECLARATIONS = 4096
 
 
-@lru_cache(MOST_DECLARATIONS)
-def list_claims(document):
-    """Return the (host, method, path) triples that a declaration claims.
+@lru_cache(MAX_CACHED_DECLARATIONS)
+def list_route_keys(document):
+    """Return the (host, method, path) triples of the routes in a declaration.
 
     Notes
     -----
-    Kept, so that a change of one declaration doesn't have all others parsed again.
+    The result is cached, so that a change of one declaration does not parse all others
+    again.
     """
     return tuple(
         (route.get("host", ""), route["method"], route["path"].rstrip("/") or "/")
@@ -32,7 +33,7 @@
     replica : Replica
         The state before the changes.
     changes : tuple of ServiceChange
-        Checked declarations.
+        Validated declarations.
 
     Returns
     -------
@@ -41,19 +42,19 @@
     findings = Findings()
     changed = {change.service for change in changes}
     owners = {}
-    for name, held in replica.services.items():
-        if name not in changed and held.document is not None:
-            for claim in list_claims(held.document):
-                owners[claim] = name
+    for name, versioned in replica.services.items():
+        if name not in changed and versioned.document is not None:
+            for key in list_route_keys(versioned.document):
+                owners[key] = name
     for change in changes:
         if change.document is None:
             continue
-        for claim in list_claims(change.document):
-            owner = owners.setdefault(claim, change.service)
+        for key in list_route_keys(change.document):
+            owner = owners.setdefault(key, change.service)
             if owner != change.service:
-                host, method, path = claim
+                host, method, path = key
                 findings.add(
                     f"{change.service}.routes",
-                    f"{method} {host}{path} belongs to {owner}",
+                    f"{method} {host}{path} is already declared by {owner}",
                 )
     return findings
--- a/packages/hingesill-core/hingesill_core/configuration/services.py
+++ b/packages/hingesill-core/hingesill_core/configuration/services.py
@@ -1,4 +1,4 @@
-"""Services, routes and endpoints as the decisions see them."""
+"""Immutable services, routes and endpoints, as the routing decisions use them."""
 
 from math import floor
 
@@ -7,7 +7,7 @@
 from hingesill_core.retries.budget import BURST
 
 __all__ = [
-    "MOST_SENDS",
+    "DEFAULT_MAX_SENDS",
     "Bursts",
     "Endpoint",
     "WeightedService",
@@ -15,14 +15,14 @@
     "Route",
     "SendBudget",
     "Service",
-    "share_out",
+    "compute_token_share",
 ]
 
-MOST_SENDS = 3
+DEFAULT_MAX_SENDS = 3
 
 
 class Endpoint(Struct, frozen=True):
-    """An endpoint as the decisions see it."""
+    """An endpoint of a service."""
 
     address: str
     data_centre: str
@@ -31,24 +31,24 @@
     instance: str = ""
     warm_in: float = 0.0
     region: str = ""
-    # Tells lives under the same identity apart; 0 if the endpoint does not say.
+    # Incarnation of the endpoint; 0 if the endpoint does not report it.
     born: int = 0
 
     @property
     def identity(self):
-        """What tells this endpoint from a later one at the same address."""
+        """Identity, which differs from that of a later endpoint at the address."""
         return self.instance or self.address
 
 
 class WeightedService(Struct, frozen=True):
-    """One service of a split route, with its share of the requests.
+    """One service of a traffic split, with its share of the requests.
 
     Parameters
     ----------
     service : str
-        Its name.
+        Name of the service.
     weight : float
-        Share of the route's requests, relative to the other parts.
+        Share of the route's requests, relative to the other services.
     """
 
     service: str
@@ -56,33 +56,35 @@
 
 
 class Route(Struct, frozen=True):
-    """A route as the decisions see it.
+    """A route.
 
     Parameters
     ----------
     service : str
-        Where its requests go, unless ``parts`` says otherwise.
+        Service that gets the requests, unless ``parts`` is set.
     method : str
-        In capitals; empty for every method.
+        HTTP method in capitals; empty for every method.
     path : str
-        Prefix of the path. One that ends with a slash covers only what
-        follows the slash.
-    repeatable, live : bool
-        May run more than once; is served before what is deferrable.
+        Prefix of the path. A prefix that ends with a slash does not cover the path
+        without the slash.
+    repeatable : bool
+        Whether a request may be executed more than once.
+    live : bool
+        Whether its requests are served before deferrable ones.
     timeout : float
-        Seconds after which a request gets its final answer.
+        Seconds after which a request gets its final response.
     host : str
-        The ``Host`` header that it is for; empty for all.
+        Value of the ``Host`` header; empty for all hosts.
     target : float
-        Seconds within which an answer is of full use; 0 if none was declared.
+        Target latency in seconds; 0 if none was declared.
     rank : int
-        0 is the most urgent.
+        Priority; 0 is the most urgent.
     most_sends : int
-        Endpoints that one request may be sent to.
-    parts : tuple of Part
-        Services that share the requests; empty if there is one.
+        Maximum number of endpoints to which one request is sent.
+    parts : tuple of WeightedService
+        Services of a traffic split; empty without a split.
     homes : tuple of str
-        Regions whose endpoints alone may get its requests; empty for all.
+        Regions of the endpoints that may get its requests; empty for all regions.
     """
 
     service: str
@@ -94,12 +96,12 @@
     host: str = ""
     target: float = 0.0
     rank: int = 0
-    most_sends: int = MOST_SENDS
+    most_sends: int = DEFAULT_MAX_SENDS
     parts: tuple[WeightedService, ...] = ()
     homes: tuple[str, ...] = ()
 
     def choose_service(self, rng):
-        """Return the service of the next request, by the weights of the parts."""
+        """Return the service of the next request, at random by weight."""
         if not self.parts:
             return self.service
         weights = [part.weight for part in self.parts]
@@ -114,11 +116,11 @@
     per_second, window : float
         Probes a second, counted over a window.
     capacity_share, cost : float
-        Share of the endpoints' capacity, and what a probe takes of it.
+        Share of the endpoints' capacity for probes, and the cost of a probe.
     path : str
-        Of the request that is a probe.
+        Path of a probe request.
     pooled : bool
-        Services may use what others leave, as the budget is one for all.
+        Whether services share one budget, so that one may use what others leave.
     """
 
     per_second: float
@@ -130,74 +132,75 @@
 
 
 class Bursts(Struct, frozen=True):
-    """How many extra sends of each kind a node may save up."""
+    """Maximum numbers of tokens for hedges and for retries at a node."""
 
     hedges: float
     retries: float
 
 
 class SendBudget(Struct, frozen=True):
-    """Extra sends a request, as shares of the first sends.
+    """Budget of additional sends, as shares of the first sends.
 
     Parameters
     ----------
     hedge_share, retry_share : float
-        Extra sends that each first send earns.
+        Tokens for additional sends that each first send earns.
     fleet_burst : float
-        Extra sends that all nodes together may make at once; 0 for a fixed
-        number a node.
+        Additional sends that all nodes together may make in a burst; 0 for a fixed
+        number per node.
     """
 
     hedge_share: float
     retry_share: float
     fleet_burst: float = 0.0
 
-    def compute_bursts(self, nodes, place=0):
+    def compute_bursts(self, nodes, node_index=0):
         """Return the Bursts of a node.
 
         Parameters
         ----------
         nodes : int
-            Nodes that share what the fleet may send at once.
-        place : int or None
-            Of this node among them, from 0; None if it is not known.
+            Number of nodes that share the fleet's burst.
+        node_index : int or None
+            Index of this node among them, from 0; None if it is unknown.
         """
         if not self.fleet_burst:
             return Bursts(BURST, BURST)
         if not self.hedge_share:
-            return Bursts(0.0, share_out(self.fleet_burst, nodes, place))
-        half = share_out(self.fleet_burst / 2, nodes, place)
+            return Bursts(0.0, compute_token_share(self.fleet_burst, nodes, node_index))
+        half = compute_token_share(self.fleet_burst / 2, nodes, node_index)
         return Bursts(half, half)
 
 
-def share_out(tokens, nodes, place):
-    """Return how many of the fleet's tokens a node may save up.
+def compute_token_share(tokens, nodes, node_index):
+    """Return the maximum number of the fleet's tokens for one node.
 
     Parameters
     ----------
     tokens : float
-        Of the fleet.
+        Tokens of the fleet.
     nodes : int
-        That share them.
-    place : int or None
-        Of the node among them, from 0; None if it is not known.
+        Number of nodes that share the tokens.
+    node_index : int or None
+        Index of the node among them, from 0; None if it is unknown.
 
     Notes
     -----
-    A send takes a whole token, so where there are more nodes than tokens some save
-    one up and the others none: a whole one for each would pass the fleet's budget.
-    Callers whose node has none are told to come back, and mostly come to another.
+    A send takes a whole token, so if there are more nodes than tokens, some nodes
+    accumulate one token and the others none: one token for each node would exceed the
+    fleet's budget. Callers of a node without tokens are asked to retry later, and most
+    of them then reach another node.
     """
     share = tokens / max(1, nodes)
     if share >= 1.0:
         return share
-    if place is None:
+    if node_index is None:
         return 0.0
-    return float(floor((place + 1) * share) - floor(place * share))
+    return float(floor((node_index + 1) * share) - floor(node_index * share))
 
 
 class Service(Struct, frozen=True):
-    """A service as the decisions see it."""
+    """A service with its endpoints and routes."""
 
     name: str
     policy: str
@@ -207,5 +210,5 @@
     sends: SendBudget
     queue_limit: int
     places: int
-    # Requests a second that a cold endpoint bears from all nodes; 0 for no limit.
+    # Requests a second that a cold endpoint may get from all nodes; 0 for no limit.
     warm_up_rate: float = 0.0
--- a/packages/hingesill-core/hingesill_core/configuration/snapshots.py
+++ b/packages/hingesill-core/hingesill_core/configuration/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the whole state in the store, cut into values of bounded size."""
+"""Snapshots of the complete state in the store, split into values of bounded size."""
 
 import hashlib
 import json
@@ -18,16 +18,16 @@
 
 
 class Snapshot(Struct, frozen=True):
-    """Where a whole state stands in the store.
+    """Location of a snapshot in the store.
 
     Parameters
     ----------
     revision : int
-        What it holds.
+        Revision of the state.
     parts : int
-        How many values it is cut into.
+        Number of values that contain the state.
     folder : str
-        First part of their keys.
+        Prefix of their keys.
     """
 
     revision: int = 0
@@ -45,9 +45,9 @@
     Parameters
     ----------
     store : Store
-        The platform's service.
+        The platform's key-value service.
     team : str
-        First part of all keys.
+        Prefix of all keys.
     """
 
     def __init__(self, store, team):
@@ -56,33 +56,33 @@
         self.prefix = f"{team}/snapshot"
 
     def save(self, replica):
-        """Write the whole state, so that new nodes need not read the whole log.
+        """Write the complete state, so that new nodes need not read the whole log.
 
         Returns
         -------
-        Snapshot, Conflicting or StoreFailure
-            The Snapshot before it, which nothing needs any more once all nodes
-            that were starting have read it.
+        Snapshot, VersionConflict or StoreFailure
+            The previous Snapshot, which may be deleted once all nodes that were
+            starting have read it.
         """
         head = self.store.get(self.head_key)
         if isinstance(head, StoreFailure):
             return head
-        before = decode_snapshot(head)
-        if before.revision >= replica.revision:
+        previous = decode_snapshot(head)
+        if previous.revision >= replica.revision:
             return VersionConflict()
-        whole = encode_difference(replica.build_difference())
-        digest = hashlib.blake2b(whole, digest_size=8).hexdigest()
+        encoded = encode_difference(replica.build_difference())
+        digest = hashlib.blake2b(encoded, digest_size=8).hexdigest()
         folder = f"{self.prefix}/{replica.revision:012d}-{digest}"
-        starts = range(0, len(whole), SNAPSHOT_PART_BYTES)
+        starts = range(0, len(encoded), SNAPSHOT_PART_BYTES)
         snapshot = Snapshot(replica.revision, len(starts), folder)
         for key, start in zip(snapshot.list_keys(), starts):
-            part = whole[start : start + SNAPSHOT_PART_BYTES]
+            part = encoded[start : start + SNAPSHOT_PART_BYTES]
             written = self.store.put(key, part, 0)
             if isinstance(written, StoreFailure):
                 return written
         value = json.dumps([snapshot.revision, snapshot.parts, snapshot.folder])
         written = self.store.put(self.head_key, value.encode(), head.version)
-        return before if isinstance(written, Written) else written
+        return previous if isinstance(written, Written) else written
 
     def load(self, replica):
         """Bring a replica up to the snapshot.
@@ -98,7 +98,7 @@
         for key in decode_snapshot(head).list_keys():
             part = self.store.get(key)
             if not isinstance(part, Value):
-                return StoreFailure(f"{key}, a part of the snapshot, is not there")
+                return StoreFailure(f"{key}, a part of the snapshot, is missing")
             parts.append(part.data)
         try:
             return replica.adopt(decode_difference(b"".join(parts)))
@@ -107,7 +107,7 @@
 
 
 def decode_snapshot(head):
-    """Return the Snapshot that the head key names; an empty one if none does."""
+    """Return the Snapshot in the head key; an empty one if there is none."""
     if not isinstance(head, Value):
         return Snapshot()
     revision, parts, folder = json.loads(head.data)
--- a/packages/hingesill-core/hingesill_core/configuration/state.py
+++ b/packages/hingesill-core/hingesill_core/configuration/state.py
@@ -1,4 +1,4 @@
-"""A replica of the configuration: what the change log adds up to."""
+"""A replica of the configuration: the state that results from the change log."""
 
 import json
 import zlib
@@ -20,11 +20,11 @@
 
 MAX_CHAINS = 1024
 MAX_OPERATIONS = 4096
-COMPRESSION = 6
+COMPRESSION_LEVEL = 6
 
 
 class Applied(str, Enum):
-    """What became of an entry or a difference that a replica was given."""
+    """Outcome of applying an entry or a difference to a replica."""
 
     APPLIED = "applied"
     ALREADY_HELD = "already-held"
@@ -43,13 +43,13 @@
 
 
 class Difference(Struct, frozen=True):
-    """The last state of each service that changed after a revision.
+    """The newest state of each service that changed after a revision.
 
     Notes
     -----
-    It is built from the state alone, so no history is kept, it can always be
-    built, and it is never longer than the whole state, which is the difference
-    since revision 0. This is the compressed form of DUXFR (section 8).
+    It is computed from the state alone, so it needs no history, is always available,
+    and is never larger than the complete state, which is the difference since revision
+    0. This is the compressed form of DUXFR (section 8).
     """
 
     since: int
@@ -59,16 +59,16 @@
 
 
 class Replica(Struct):
-    """The newest state that this node has seen; it never goes back.
+    """The newest state that this node has seen; its revision never decreases.
 
     Attributes
     ----------
     revision : int
-        The last entry of the change log that the state holds.
+        Last entry of the change log that the state includes.
     chain : str
-        Digest of the change log up to there.
+        Digest of the change log up to that entry.
     services : OrderedDict
-        Each service's Versioned, the last changed one last.
+        Versioned of each service, the most recently changed last.
     """
 
     revision: int = 0
@@ -78,17 +78,17 @@
     _chains: deque = field(default_factory=lambda: deque(maxlen=MAX_CHAINS))
 
     def apply(self, entry):
-        """Take an entry of the change log if it is the next one.
+        """Apply an entry of the change log if it is the next one.
 
         Parameters
         ----------
         entry : Entry
-            As read from the store.
+            Entry as read from the store.
 
         Returns
         -------
         Applied
-            APPLIED changed the state; all other values left it as it was.
+            APPLIED if the state changed; with any other value it is unchanged.
         """
         if entry.revision <= self.revision:
             known = self.find_chain(entry.revision)
@@ -109,13 +109,13 @@
         return Applied.APPLIED
 
     def adopt(self, difference):
-        """Take a difference from a peer or a snapshot if it leads further.
+        """Apply a difference from a peer or a snapshot if it is newer.
 
         Returns
         -------
         Applied
-            OLDER or ALREADY_HELD if it does not; GAP if it starts after this
-            state; FORKED if it belongs to another change log.
+            OLDER or ALREADY_HELD if it is not newer; GAP if it starts after this state;
+            FORKED if it belongs to another change log.
         """
         if difference.since > self.revision:
             return Applied.GAP
@@ -126,8 +126,8 @@
             older = difference.revision < self.revision
             return Applied.OLDER if older else Applied.ALREADY_HELD
         for name, item in difference.services.items():
-            held = self.services.get(name)
-            if held is None or item.version > held.version:
+            current = self.services.get(name)
+            if current is None or item.version > current.version:
                 self._put(name, item)
         self._advance(difference.revision, difference.chain)
         return Applied.APPLIED
@@ -154,14 +154,14 @@
         return None
 
     def build_difference(self, since=0, names=()):
-        """Return what changed after a revision.
+        """Return the changes after a revision.
 
         Parameters
         ----------
         since : int
-            A revision; 0 for the whole state.
+            A revision; 0 for the complete state.
         names : collection of str
-            Only these services; empty for all.
+            Services to include; empty for all.
         """
         changed = []
         for name, item in reversed(self.services.items()):
@@ -173,36 +173,38 @@
         return Difference(since, self.revision, self.chain, dict(changed))
 
     def get_version(self, name):
-        """Return the version of a service, a tombstone's too; 0 for none."""
-        held = self.services.get(name)
-        return 0 if held is None else held.version
+        """Return the version of a service or its tombstone; 0 for neither."""
+        current = self.services.get(name)
+        return 0 if current is None else current.version
 
     def find_operation(self, operation_id):
-        """Return the revision a recent operation led to, or None."""
+        """Return the revision of a recent operation, or None."""
         return self._operations.get(operation_id)
 
 
 def encode_difference(difference):
     """Return a difference as compressed JSON."""
-    held = {
+    services = {
         name: [item.version, item.author, item.document, item.operation_id]
         for name, item in difference.services.items()
     }
-    parts = [difference.since, difference.revision, difference.chain, held]
-    return zlib.compress(json.dumps(parts, separators=(",", ":")).encode(), COMPRESSION)
+    parts = [difference.since, difference.revision, difference.chain, services]
+    return zlib.compress(
+        json.dumps(parts, separators=(",", ":")).encode(), COMPRESSION_LEVEL
+    )
 
 
 def decode_difference(encoded):
-    """Return the difference that compressed JSON holds.
+    """Return the difference in compressed JSON.
 
     Raises
     ------
     ValueError
-        If it holds none.
+        If the data contain no difference.
     """
     try:
-        since, revision, chain, held = json.loads(zlib.decompress(encoded))
-        services = {name: Versioned(*item) for name, item in held.items()}
+        since, revision, chain, encoded_services = json.loads(zlib.decompress(encoded))
+        services = {name: Versioned(*item) for name, item in encoded_services.items()}
         return Difference(int(since), int(revision), str(chain), services)
     except (zlib.error, TypeError, ValueError, AttributeError) as error:
         raise ValueError(f"not a difference: {error}") from error
--- a/packages/hingesill-core/hingesill_core/configuration/tail.py
+++ b/packages/hingesill-core/hingesill_core/configuration/tail.py
@@ -1,4 +1,4 @@
-"""The end of the change log, and the segments behind it, which have its form."""
+"""The tail of the change log, and the sealed segments, which have the same form."""
 
 import json
 
@@ -14,20 +14,20 @@
 
 
 class Tail(Struct, frozen=True):
-    """The end of the change log.
+    """The last part of the change log, or a sealed segment.
 
     Parameters
     ----------
     base : int
-        The revision before the first entry.
+        Revision before the first entry.
     chain : str
-        The chain digest at the base.
+        Chain digest at the base.
     segment : str
-        The key of the segment before; empty if there is none.
+        Key of the previous segment; empty if there is none.
     entries : tuple of Entry
-        In order.
+        Entries in order.
     version : int
-        The store's version of the key, for a CAS.
+        Store version of the key, for a CAS.
     """
 
     base: int = 0
@@ -38,17 +38,17 @@
 
     @property
     def revision(self):
-        """The newest revision in the store."""
+        """Newest revision in the store."""
         return self.base + len(self.entries)
 
     @property
     def last_chain(self):
-        """The chain digest after the newest entry."""
+        """Chain digest after the newest entry."""
         return self.entries[-1].compute_chain() if self.entries else self.chain
 
 
 def decode_tail(data, version):
-    """Return the Tail that a value holds; ValueError if it holds none."""
+    """Return the Tail in a value; raise ValueError if there is none."""
     try:
         base, chain, segment, entries = json.loads(data)
         decoded = tuple(decode_entry(json.dumps(entry)) for entry in entries)
--- a/packages/hingesill-core/hingesill_core/configuration/tests/test_changelog.py
+++ b/packages/hingesill-core/hingesill_core/configuration/tests/test_changelog.py
@@ -1,4 +1,4 @@
-"""Tests of the change log in the store, with faults at each of its calls."""
+"""Tests of the change log with faults at each call of the store."""
 
 import unittest
 
@@ -20,11 +20,11 @@
     Written,
 )
 
-UNLIMITED = 50
+MANY_TRIES = 50
 
 
 class FaultyStore:
-    """A store in memory whose writes can lose their answer or their effect."""
+    """A store in memory that can lose writes or the responses to them."""
 
     def __init__(self):
         self.values = {}
@@ -58,24 +58,24 @@
         return Written()
 
     def deliver_delayed(self):
-        """Let the dropped writes arrive after all."""
+        """Apply the dropped writes late; return their results."""
         delayed, self.delayed = self.delayed, []
         return [self.put(*arguments) for arguments in delayed]
 
 
-def ask(operation, expected=0, document="{}", service="arena"):
-    """Return a request to change one service."""
+def build_request(operation, expected=0, document="{}", service="arena"):
+    """Return a ChangeRequest for one service."""
     change = ServiceChange(service, document)
     return ChangeRequest(operation, "ann", (change,), (expected,))
 
 
-def count_down(number):
-    """Return a function that is true that many times."""
-    left = [number]
+def build_countdown(number):
+    """Return a function that returns True a given number of times."""
+    remaining = [number]
 
     def is_in_time():
-        left[0] -= 1
-        return left[0] >= 0
+        remaining[0] -= 1
+        return remaining[0] >= 0
 
     return is_in_time
 
@@ -86,71 +86,73 @@
         self.log = ChangeLog(self.store, "team")
         self.replica = Replica()
 
-    def append(self, request, replica=None, tries=UNLIMITED):
+    def append(self, request, replica=None, tries=MANY_TRIES):
         replica = self.replica if replica is None else replica
-        return self.log.append(replica, request, count_down(tries))
+        return self.log.append(replica, request, build_countdown(tries))
 
-    def test_accepted_change_is_read_by_another(self):
-        self.assertEqual(self.append(ask("op-1")), Accepted(1))
+    def test_an_accepted_change_reaches_another_replica(self):
+        self.assertEqual(self.append(build_request("op-1")), Accepted(1))
         other = Replica()
         outcome = self.log.catch_up(other, self.log.read_tail())
         self.assertIs(outcome, Applied.APPLIED)
         self.assertEqual(other.services["arena"].document, "{}")
         self.assertEqual(other.chain, self.replica.chain)
 
-    def test_lost_answer_is_read_back(self):
+    def test_a_write_with_a_lost_response_is_read_back(self):
         self.store.lose_answers = 1
-        self.assertEqual(self.append(ask("op-1")), Accepted(1, repeated=True))
+        self.assertEqual(self.append(build_request("op-1")), Accepted(1, repeated=True))
         self.assertEqual(self.log.read_tail().revision, 1)
 
-    def test_dropped_write_is_written_again(self):
+    def test_a_dropped_write_is_repeated(self):
         self.store.drop_writes = 1
-        self.assertEqual(self.append(ask("op-1")), Accepted(1))
+        self.assertEqual(self.append(build_request("op-1")), Accepted(1))
         self.assertEqual(self.store.deliver_delayed(), [VersionConflict()])
         self.assertEqual(self.log.read_tail().revision, 1)
 
-    def test_unknown_when_the_store_stays_away(self):
+    def test_unknown_while_the_store_is_unreachable_after_a_write(self):
         self.store.lose_answers = 1
-        verdict = self.append(ask("op-1"), tries=0)
-        self.assertIs(verdict.reason, Rejection.UNKNOWN)
-        self.assertEqual(self.append(ask("op-1")), Accepted(1, repeated=True))
+        result = self.append(build_request("op-1"), tries=0)
+        self.assertIs(result.reason, Rejection.UNKNOWN)
+        self.assertEqual(self.append(build_request("op-1")), Accepted(1, repeated=True))
 
-    def test_unavailable_when_nothing_was_written(self):
+    def test_unavailable_without_a_write(self):
         self.store.down = True
-        verdict = self.append(ask("op-1"))
-        self.assertIs(verdict.reason, Rejection.UNAVAILABLE)
+        result = self.append(build_request("op-1"))
+        self.assertIs(result.reason, Rejection.UNAVAILABLE)
 
-    def test_same_operation_takes_effect_once(self):
-        self.append(ask("op-1"))
-        self.append(ask("op-2", expected=1))
-        self.assertEqual(self.append(ask("op-1")), Accepted(1, repeated=True))
+    def test_an_operation_takes_effect_once(self):
+        self.append(build_request("op-1"))
+        self.append(build_request("op-2", expected=1))
+        self.assertEqual(self.append(build_request("op-1")), Accepted(1, repeated=True))
         self.assertEqual(self.log.read_tail().revision, 2)
 
-    def test_racing_operators_conflict(self):
+    def test_concurrent_operators_conflict(self):
         other = Replica()
-        self.append(ask("op-1"))
-        verdict = self.append(ask("op-2"), other)
-        self.assertEqual(verdict, Rejected(Rejection.CONFLICT, "arena"))
+        self.append(build_request("op-1"))
+        result = self.append(build_request("op-2"), other)
+        self.assertEqual(result, Rejected(Rejection.CONFLICT, "arena"))
 
     def test_tombstone_has_a_version(self):
-        self.append(ask("op-1"))
-        self.append(ask("op-2", expected=1, document=None))
+        self.append(build_request("op-1"))
+        self.append(build_request("op-2", expected=1, document=None))
         self.assertEqual(self.replica.get_version("arena"), 2)
-        verdict = self.append(ask("op-3", expected=0))
-        self.assertIs(verdict.reason, Rejection.CONFLICT)
+        result = self.append(build_request("op-3", expected=0))
+        self.assertIs(result.reason, Rejection.CONFLICT)
 
-    def test_long_log_is_sealed_and_read_from_the_start(self):
+    def test_a_long_log_is_sealed_and_read_from_the_start(self):
         for number in range(200):
-            request = ask(f"op-{number}", expected=number, document="x" * 200)
+            request = build_request(f"op-{number}", expected=number, document="x" * 200)
             self.assertIsInstance(self.append(request), Accepted)
         self.assertGreater(len(self.store.values), 3)
         other = Replica()
         self.log.catch_up(other, self.log.read_tail())
         self.assertEqual(other.revision, 200)
 
-    def test_snapshot_takes_the_place_of_segments(self):
+    def test_a_snapshot_replaces_segments(self):
         for number in range(100):
-            self.append(ask(f"op-{number}", expected=number, document="x" * 200))
+            self.append(
+                build_request(f"op-{number}", expected=number, document="x" * 200)
+            )
         self.assertEqual(self.log.snapshots.save(self.replica), Snapshot())
         for key in [key for key in self.store.values if "segment" in key]:
             del self.store.values[key]
@@ -158,10 +160,12 @@
         self.log.catch_up(other, self.log.read_tail())
         self.assertEqual(other.revision, 100)
 
-    def test_store_does_not_grow_for_ever(self):
+    def test_the_size_of_the_store_is_bounded(self):
         sizes = []
         for number in range(400):
-            self.append(ask(f"op-{number}", expected=number, document="x" * 200))
+            self.append(
+                build_request(f"op-{number}", expected=number, document="x" * 200)
+            )
             if number % 50 == 49:
                 before = self.log.snapshots.save(self.replica)
                 self.log.truncate_before(before)
@@ -171,23 +175,23 @@
         self.log.catch_up(other, self.log.read_tail())
         self.assertEqual(other.revision, 400)
 
-    def test_restored_store_is_recognised(self):
-        self.append(ask("op-1"))
-        early = dict(self.store.values)
-        self.append(ask("op-2", expected=1))
-        self.store.values = early
+    def test_a_restored_store_is_detected(self):
+        self.append(build_request("op-1"))
+        earlier_copy = dict(self.store.values)
+        self.append(build_request("op-2", expected=1))
+        self.store.values = earlier_copy
         outcome = self.log.catch_up(self.replica, self.log.read_tail())
         self.assertIs(outcome, Applied.OLDER)
-        verdict = self.append(ask("op-3", expected=2))
-        self.assertIs(verdict.reason, Rejection.STORE_BEHIND)
+        result = self.append(build_request("op-3", expected=2))
+        self.assertIs(result.reason, Rejection.STORE_BEHIND)
         self.assertEqual(self.replica.revision, 2)
 
-    def test_fork_of_a_restored_store_is_recognised(self):
-        self.append(ask("op-1"))
-        early = dict(self.store.values)
-        self.append(ask("op-2", expected=1))
-        self.store.values = early
-        self.append(ask("op-x", expected=1, document="other"), Replica())
+    def test_a_fork_of_a_restored_store_is_detected(self):
+        self.append(build_request("op-1"))
+        earlier_copy = dict(self.store.values)
+        self.append(build_request("op-2", expected=1))
+        self.store.values = earlier_copy
+        self.append(build_request("op-x", expected=1, document="other"), Replica())
         outcome = self.log.catch_up(self.replica, self.log.read_tail())
         self.assertIs(outcome, Applied.FORKED)
         self.assertEqual(self.replica.services["arena"].document, "{}")
--- a/packages/hingesill-core/hingesill_core/configuration/tests/test_route_table.py
+++ b/packages/hingesill-core/hingesill_core/configuration/tests/test_route_table.py
@@ -1,4 +1,4 @@
-"""Tests of finding a request's route."""
+"""Tests of the route lookup."""
 
 import unittest
 
@@ -29,12 +29,12 @@
         self.assertEqual(table.find("GET", "/x/y").path, "/")
         self.assertEqual(table.find("GET", "/").path, "/")
 
-    def test_routes_of_another_host_are_no_match(self):
+    def test_routes_of_another_host_do_not_match(self):
         table = RouteTable([build_route("/a/", "one.example")])
         self.assertIsNone(table.find("GET", "/a/b", "two.example"))
         self.assertIsNotNone(table.find("GET", "/a/b", "ONE.example"))
 
-    def test_routes_of_the_host_go_before_those_of_all(self):
+    def test_routes_of_the_host_take_precedence(self):
         table = RouteTable([build_route("/a/b/"), build_route("/a/", "one.example")])
         self.assertEqual(table.find("GET", "/a/b/c", "one.example").path, "/a/")
         self.assertEqual(table.find("GET", "/a/b/c", "two.example").path, "/a/b/")
--- a/packages/hingesill-core/hingesill_core/findings.py
+++ b/packages/hingesill-core/hingesill_core/findings.py
@@ -1,4 +1,4 @@
-"""Findings: everything wrong with an input, each with its place."""
+"""Findings: all faults of an input, each with its place."""
 
 from msgspec import Struct, field
 
@@ -6,14 +6,14 @@
 
 
 class Finding(Struct, frozen=True):
-    """One thing that is wrong.
+    """One fault of an input.
 
     Parameters
     ----------
     place : str
-        A file with its line, a path within a declaration, or a setting's name.
+        A file with its line, a path within a declaration, or the name of a setting.
     message : str
-        What is wrong there.
+        Description of the fault.
     """
 
     place: str
@@ -24,7 +24,7 @@
 
 
 class Findings(Struct):
-    """A collection that is reported as a whole, never at the first finding."""
+    """A collection of findings, so that all faults are reported together."""
 
     items: list[Finding] = field(default_factory=list)
 
--- a/packages/hingesill-core/hingesill_core/reasons.py
+++ b/packages/hingesill-core/hingesill_core/reasons.py
@@ -1,4 +1,4 @@
-"""Why a request was refused, sent again or ended: the enumerations.
+"""Enumerations of the reasons for which a request was refused, resent or ended.
 
 Each member is a value of the counters and of the ``Hingesill-Reason`` header.
 ``docs/REASONS.md`` describes each; CI compares the two.
@@ -10,7 +10,7 @@
 
 
 class Outcome(str, Enum):
-    """What a caller can rely on; the ``Hingesill-Outcome`` header."""
+    """Guarantee for the caller; the ``Hingesill-Outcome`` header."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -18,7 +18,7 @@
 
 
 class RefusalReason(str, Enum):
-    """Why a request got no answer from an endpoint."""
+    """Reason for which a request got no response from an endpoint."""
 
     NO_ROUTE = "no-route"
     NO_CONFIGURATION = "no-configuration"
@@ -43,7 +43,7 @@
 
 
 class RetryReason(str, Enum):
-    """Why a request was sent once more, or why it was not."""
+    """Reason for which a request was sent again, or was not."""
 
     CONNECT_FAILED = "connect-failed"
     NOT_SENT = "not-sent"
--- a/packages/hingesill-core/hingesill_core/registry.py
+++ b/packages/hingesill-core/hingesill_core/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill, in place of chains of conditions."""
+"""Registries of implementations, which decorators fill."""
 
 __all__ = ["Registry"]
 
@@ -9,7 +9,7 @@
     Parameters
     ----------
     kind : str
-        What the registry holds, for messages.
+        Kind of the implementations, for messages.
     """
 
     def __init__(self, kind):
@@ -17,12 +17,12 @@
         self._entries = {}
 
     def register(self, name):
-        """Return a decorator that enters a class or function under a name.
+        """Return a decorator that registers a class or function under a name.
 
         Raises
         ------
         ValueError
-            If the name is taken.
+            If the name is already registered.
         """
         if name in self._entries:
             raise ValueError(f"the {self.kind} {name!r} is registered twice")
@@ -34,7 +34,7 @@
         return enter
 
     def get(self, name):
-        """Return the implementation, or None if there is none of that name."""
+        """Return the implementation, or None if the name is not registered."""
         return self._entries.get(name)
 
     def list_names(self):
--- a/packages/hingesill-core/hingesill_core/store.py
+++ b/packages/hingesill-core/hingesill_core/store.py
@@ -1,7 +1,7 @@
-"""The seam to the platform's key-value service, and the answers it gives.
+"""Interface to the platform's key-value service, and the results of its calls.
 
-An adapter stands in a registry of the node's; any object with these methods
-will do for a test or a bench. No method raises: what went wrong is a value.
+The node has a registry of adapters; a test or a benchmark may use any object with these
+methods. No method raises an exception: failures are returned as values.
 """
 
 from typing import Protocol
@@ -24,20 +24,20 @@
 
 
 class Value(Struct, frozen=True):
-    """What a key holds, with the version that a CAS names."""
+    """The value of a key, with the version for a CAS."""
 
     data: bytes
     version: int
 
 
 class KeyMissing(Struct, frozen=True):
-    """The key holds nothing; a CAS that creates it names version 0."""
+    """The key has no value; a CAS that creates it expects version 0."""
 
     version: int = 0
 
 
 class Unchanged(Struct, frozen=True):
-    """A watch ended without a change."""
+    """A watch timed out without a change."""
 
 
 class Written(Struct, frozen=True):
@@ -49,12 +49,12 @@
 
 
 class StoreFailure(Struct, frozen=True):
-    """No usable answer came.
+    """The call returned no usable result.
 
     Parameters
     ----------
     reason : str
-        For logs and operators.
+        Description for logs and operators.
     may_have_run : bool
         True if a write may have taken effect, or may still do so.
     """
@@ -64,14 +64,14 @@
 
 
 class LeaseGranted(Struct, frozen=True):
-    """The lease is held.
+    """The caller holds the lease.
 
     Parameters
     ----------
     lease : str
-        The store's name for it.
+        Identifier of the lease in the store.
     ttl : float
-        Seconds for which it holds, counted from before the call was made.
+        Seconds for which it is valid, from before the start of the call.
     """
 
     lease: str
@@ -79,35 +79,35 @@
 
 
 class LeaseLost(Struct, frozen=True):
-    """The lease has lapsed or another holds the key."""
+    """The lease has expired, or another holder has the key."""
 
 
 class Store(Protocol):
-    """The calls used of the platform's service; each counts as one there."""
+    """The calls of the platform's service; each counts as one call there."""
 
     def get(self, key):
-        """Return Value, Missing or StoreFailure."""
+        """Return Value, KeyMissing or StoreFailure."""
 
     def put(self, key, data, expected):
-        """Write if the version is the expected one.
+        """Write a value if the key's version is the expected one.
 
-        Returns Written, Conflicting or StoreFailure.
+        Returns Written, VersionConflict or StoreFailure.
         """
 
     def delete(self, key):
-        """Remove a key; return Written or StoreFailure."""
+        """Delete a key; return Written or StoreFailure."""
 
     def watch(self, key, version, timeout):
         """Wait until the key has another version, ``timeout`` seconds at most.
 
-        Returns Value, Missing, Unchanged or StoreFailure.
+        Returns Value, KeyMissing, Unchanged or StoreFailure.
         """
 
     def acquire(self, key, holder, ttl):
-        """Take a lease on a key; return Held, LeaseLost or StoreFailure."""
+        """Acquire a lease on a key; return LeaseGranted, LeaseLost or StoreFailure."""
 
     def renew(self, lease, ttl):
-        """Prolong a lease; return Held, LeaseLost or StoreFailure."""
+        """Renew a lease; return LeaseGranted, LeaseLost or StoreFailure."""
 
     def release(self, lease):
-        """Give a lease up; return Written or StoreFailure."""
+        """Release a lease; return Written or StoreFailure."""
--- a/packages/hingesill-core/hingesill_core/tests/test_validation.py
+++ b/packages/hingesill-core/hingesill_core/tests/test_validation.py
@@ -1,4 +1,4 @@
-"""Tests of checked models: every fault is named with its place."""
+"""Tests of model validation: every fault is reported with its path."""
 
 import unittest
 from typing import Annotated
@@ -11,13 +11,13 @@
 
 
 class Inner(Struct, frozen=True):
-    """A part of the model."""
+    """A nested model."""
 
     size: Annotated[int, Meta(ge=1)]
 
 
 class Outer(Struct, frozen=True):
-    """A model with a check over its fields."""
+    """A model with a check of several fields."""
 
     name: str
     inner: Inner
@@ -29,7 +29,7 @@
 
 
 def check_share(value):
-    """Refuse a share above one."""
+    """Raise ValueError for a share above one."""
     if value > 1:
         raise ValueError("a share is at most 1")
     return value
@@ -44,7 +44,7 @@
         self.assertIsInstance(found, Findings)
         return [str(finding) for finding in found]
 
-    def test_a_whole_model(self):
+    def test_a_valid_model(self):
         found = self.build(name="a", inner={"size": 3}, share=1)
         self.assertEqual(found, Outer("a", Inner(3), 1.0))
 
@@ -52,17 +52,17 @@
         found = self.build(name="a", inner={"size": "3"}, share="0.25")
         self.assertEqual((found.inner.size, found.share), (3, 0.25))
 
-    def test_every_fault_is_named(self):
+    def test_every_fault_is_reported(self):
         lines = self.list_findings(inner={"size": 0}, share=2)
         self.assertEqual(len(lines), 3)
         for start, line in zip(("name: ", "inner.size: ", "share: "), lines):
             self.assertTrue(line.startswith(start), line)
 
-    def test_a_part_of_another_kind(self):
+    def test_a_nested_model_of_another_type(self):
         (line,) = self.list_findings(name="a", inner=4)
         self.assertTrue(line.startswith("inner: "), line)
 
-    def test_what_fields_break_together(self):
+    def test_a_check_of_several_fields(self):
         lines = self.list_findings(name="none", inner={"size": 3})
         self.assertEqual(lines, ["Outer: none is no name"])
 
@@ -71,17 +71,17 @@
     def setUp(self):
         self.decoder = Decoder(Outer, strict=False)
 
-    def test_a_whole_document(self):
+    def test_a_valid_document(self):
         found = decode_model(self.decoder, b'{"name": "a", "inner": {"size": 3}}')
         self.assertEqual(found, Outer("a", Inner(3)))
 
-    def test_every_fault_of_a_document_is_named(self):
+    def test_every_fault_of_a_document_is_reported(self):
         with self.assertRaises(ValueError) as caught:
             decode_model(self.decoder, b'{"inner": {"size": 0}, "share": "much"}')
-        for place in ("name", "inner.size", "share"):
-            self.assertIn(place, str(caught.exception))
+        for path in ("name", "inner.size", "share"):
+            self.assertIn(path, str(caught.exception))
 
-    def test_what_is_no_document(self):
+    def test_invalid_documents(self):
         for data in (b"", b"{", b"[]", b"3", b"\xff"):
             with self.subTest(data=data), self.assertRaises(ValueError):
                 decode_model(self.decoder, data)
--- a/packages/hingesill-core/hingesill_core/validation.py
+++ b/packages/hingesill-core/hingesill_core/validation.py
@@ -1,4 +1,4 @@
-"""Checked models at the border: each fault of an input, with its place."""
+"""Validated models of inputs: every fault is reported with its place."""
 
 from msgspec import Struct, ValidationError, convert, json
 from msgspec.structs import fields
@@ -11,19 +11,19 @@
 
 
 def build_model(model, raw, checks=NO_CHECKS, place=""):
-    """Return a model of parsed input, or Findings that name every fault.
+    """Return a model of parsed input, or Findings with every fault.
 
     Parameters
     ----------
     model : type
         A ``msgspec.Struct``.
     raw : dict
-        The input by field; numbers may be given as text.
+        Input by field name; numbers may be strings.
     checks : dict
-        By field's name, a function that takes the value and raises ValueError with
-        what is wrong.
+        Validators by field name: functions that return the value, or raise ValueError
+        with a description of the fault.
     place : str
-        Stands before the names of the fields in the findings.
+        Prefix of the field names in the findings.
     """
     findings = Findings()
     values = {}
@@ -37,7 +37,7 @@
                 values[field.name] = value
         elif field.required:
             findings.add(path, "is required")
-    return findings or build_whole(model, values, place)
+    return findings or construct_model(model, values, place)
 
 
 def convert_field(field, value, checks, path):
@@ -55,12 +55,12 @@
 
 
 def is_model(kind):
-    """Tell whether the type of a field is a model of its own."""
+    """Return whether the type of a field is a model."""
     return isinstance(kind, type) and issubclass(kind, Struct)
 
 
-def build_whole(model, values, place):
-    """Return the model, or Findings with what its fields together break."""
+def construct_model(model, values, place):
+    """Return the model, or Findings with faults that involve several fields."""
     try:
         return model(**values)
     except ValueError as error:
@@ -70,12 +70,12 @@
 
 
 def decode_model(decoder, data):
-    """Return the model that JSON holds.
+    """Return the model in a JSON document.
 
     Parameters
     ----------
     decoder : msgspec.json.Decoder
-        Of the model.
+        Decoder of the model.
     data : bytes
         The document.
 
