--- a/packages/hingesill-core/hingesill_core/configuration/changelog.py
+++ b/packages/hingesill-core/hingesill_core/configuration/changelog.py
@@ -111,13 +111,13 @@
         """Wait for a change; return Tail, Unchanged or StoreFailure."""
         return self._decode(self.store.watch(self.tail_key, version, timeout))
 
-    def _decode(self, answer):
-        if isinstance(answer, KeyMissing):
-            return Tail(version=answer.version)
-        if not isinstance(answer, Value):
-            return answer
+    def _decode(self, result):
+        if isinstance(result, KeyMissing):
+            return Tail(version=result.version)
+        if not isinstance(result, Value):
+            return result
         try:
-            return decode_tail(answer.data, answer.version)
+            return decode_tail(result.data, result.version)
         except ValueError as error:
             return StoreFailure(str(error))
 
@@ -144,11 +144,11 @@
 
     def _read_previous(self, replica, tail):
         """Return the segment before a tail; None if a snapshot was loaded instead."""
-        answer = self._decode(self.store.get(tail.segment))
-        if isinstance(answer, Tail) and answer.entries:
-            return answer
-        if isinstance(answer, StoreFailure):
-            return answer
+        result = self._decode(self.store.get(tail.segment))
+        if isinstance(result, Tail) and result.entries:
+            return result
+        if isinstance(result, StoreFailure):
+            return result
         loaded = self.snapshots.load(replica)
         if loaded is not Applied.APPLIED:
             return StoreFailure(
--- a/packages/hingesill-core/hingesill_core/configuration/state.py
+++ b/packages/hingesill-core/hingesill_core/configuration/state.py
@@ -48,8 +48,8 @@
     Notes
     -----
     It is computed from the state alone, so it needs no history, is always available,
-    and is never larger than the complete state, which is the difference since revision
-    0. This is the compressed form of DUXFR (section 8).
+    and is never larger than the complete state, which is the difference since the
+    revision 0. This is the compressed form of DUXFR (section 8).
     """
 
     since: int
--- a/packages/hingesill-core/hingesill_core/ratelimits/grants.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/grants.py
@@ -72,16 +72,16 @@
 
     def list_times(self, now):
         """Return the times from which the grants are usable, the earliest first."""
-        self._forget(now)
+        self._delete_expired(now)
         grants = chain.from_iterable(self._grants.values())
         return sorted(grant.usable_from for grant in grants)
 
-    def _forget(self, now):
+    def _delete_expired(self, now):
         """Delete the grants that have expired."""
         for endpoint, grants in list(self._grants.items()):
-            left = [grant for grant in grants if now < grant.expires_at]
-            if left:
-                self._grants[endpoint] = left
+            remaining = [grant for grant in grants if now < grant.expires_at]
+            if remaining:
+                self._grants[endpoint] = remaining
             else:
                 del self._grants[endpoint]
 
--- a/packages/hingesill-core/hingesill_core/ratelimits/service.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/service.py
@@ -197,10 +197,11 @@
 
     def list_rates(self):
         """Return the rates at which this node grants requests, by endpoint."""
-        part = SUBSTITUTE_SHARE if self._is_substitute() else 1.0
-        least = 0.0 if self.is_in_health else MIN_TRIAL_RATE
+        share = SUBSTITUTE_SHARE if self._is_substitute() else 1.0
+        min_rate = 0.0 if self.is_in_health else MIN_TRIAL_RATE
         return {
-            endpoint: max(part * rate, least) for endpoint, rate in self.limited.items()
+            endpoint: max(share * rate, min_rate)
+            for endpoint, rate in self.limited.items()
         }
 
     def _is_substitute(self):
--- a/packages/hingesill-core/hingesill_core/ratelimits/tests/test_limitsimulation.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/tests/test_limitsimulation.py
@@ -1,7 +1,7 @@
 """Fleets of all sizes keep endpoints' limits and use them.
 
 The bound is 1.5 times what a limit allows in 4 s, plus 5; these tests require a factor
-of 1.25. Without grants, with a fixed share for each node, 300 nodes use 0.07 of a limit
+of 1.25. Without grants, with a share for each node, 300 nodes use 0.07 of a limit
 of 2.5, and 6 nodes use 0.29 if one of them gets nine tenths of the callers; with grants
 both use 1.00. With a token bucket at each node 300 requests would come at once after a
 pause.
@@ -214,7 +214,7 @@
 
 
 class ViewTests(LimitCase):
-    """Nodes see endpoints differently; the coordinator grants requests at all."""
+    """Nodes see endpoints differently; the coordinator grants for each one."""
 
     def setUp(self):
         self.simulation = LimitSimulation(Scenario(6, 3.0, 90.0, endpoints=2))
--- a/packages/hingesill-core/hingesill_core/registry.py
+++ b/packages/hingesill-core/hingesill_core/registry.py
@@ -27,11 +27,11 @@
         if name in self._entries:
             raise ValueError(f"the {self.kind} {name!r} is registered twice")
 
-        def enter(implementation):
+        def decorate(implementation):
             self._entries[name] = implementation
             return implementation
 
-        return enter
+        return decorate
 
     def get(self, name):
         """Return the implementation, or None if the name is not registered."""
