--- a/packages/hingesill-core/hingesill_core/discovery/__init__.py
+++ b/packages/hingesill-core/hingesill_core/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints and declarations that are found in the platform's store."""
+"""Discovery of endpoints and declarations in the platform's store."""
--- a/packages/hingesill-core/hingesill_core/discovery/assembly.py
+++ b/packages/hingesill-core/hingesill_core/discovery/assembly.py
@@ -1,4 +1,4 @@
-"""From a directory to the services and routes that decisions use."""
+"""Builds the services that routing uses from a directory."""
 
 from msgspec import Struct, field
 
@@ -12,25 +12,25 @@
 
 __all__ = ["ServiceRules", "build_services"]
 
-# Seconds of an endpoint that one probe takes; asking replies at once.
-PROBE_COST = 0.001
+# Processing time of an endpoint for one probe; load queries are answered at once.
+PROBE_COST_SECONDS = 0.001
 
 
 class ServiceRules(Struct, frozen=True):
-    """What the operator's settings say for all services that are found.
+    """Rules of the operator's settings for all discovered services.
 
     Parameters
     ----------
     probes_per_second : float
-        Probes an endpoint and second, over the fleet.
+        Probes per endpoint and second by the whole fleet.
     probe_window : float
-        Seconds over which they are counted.
+        Window over which probes are counted, in seconds.
     sends : SendBudget
-        Extra sends a request.
+        Extra sends per request.
     queue_limit : int
-        Requests of a service that wait at a node.
+        Requests of a service that may be queued at a node.
     regions : dict
-        The region of each data centre.
+        Region by data centre.
     """
 
     probes_per_second: float
@@ -45,15 +45,15 @@
 
     Notes
     -----
-    Endpoints that leave or whose data centre is evacuated are not among them: they get
-    no new work, no question and no probe, and idle connections to them are closed. What
-    is under way there is finished.
+    Leaving endpoints and endpoints in evacuated data centres are left out: they receive
+    no new requests, load queries or probes, and idle connections to them are closed.
+    Requests in flight there are completed.
     """
     if directory.declared is None:
         return {}
     members = {service.name: [] for service in directory.declared.services}
     for record in directory.endpoints.values():
-        if record.service in members and takes_work(record, directory):
+        if record.service in members and accepts_new_requests(record, directory):
             members[record.service].append(record)
     return {
         service.name: build_service(
@@ -63,13 +63,13 @@
     }
 
 
-def takes_work(record, directory):
-    """Tell whether an endpoint may get new work, by what the directory holds."""
+def accepts_new_requests(record, directory):
+    """Return whether an endpoint may receive new requests."""
     return not record.leaving and record.data_centre not in directory.evacuated
 
 
 def build_service(declared, records, routes, rules):
-    """Return one service with the endpoints that were found."""
+    """Return one service with its discovered endpoints."""
     records = sorted(records, key=lambda record: record.instance)
     return Service(
         name=declared.name,
@@ -77,12 +77,12 @@
         endpoints=tuple(
             build_endpoint(declared, record, rules.regions) for record in records
         ),
-        routes=tuple(route for route in routes if leads_to(route, declared.name)),
+        routes=tuple(route for route in routes if routes_to(route, declared.name)),
         probes=ProbeBudget(
             per_second=rules.probes_per_second * len(records),
             window=rules.probe_window,
             capacity_share=1.0,
-            cost=PROBE_COST,
+            cost=PROBE_COST_SECONDS,
             path=declared.health_path,
             pooled=True,
         ),
@@ -94,7 +94,7 @@
 
 
 def build_endpoint(declared, record, regions):
-    """Return an endpoint as the decisions see it."""
+    """Return an endpoint as routing uses it."""
     return Endpoint(
         address=record.address,
         data_centre=record.data_centre,
@@ -107,8 +107,8 @@
     )
 
 
-def leads_to(route, service):
-    """Tell whether some requests of a route go to a service."""
+def routes_to(route, service):
+    """Return whether a route sends requests to a service."""
     if route.parts:
         return any(part.service == service for part in route.parts)
     return route.service == service
--- a/packages/hingesill-core/hingesill_core/discovery/difference.py
+++ b/packages/hingesill-core/hingesill_core/discovery/difference.py
@@ -1,4 +1,4 @@
-"""What changed between two snapshots of a directory."""
+"""Changes between two snapshots of a directory."""
 
 from hingesill_core.discovery.records import Changes
 
@@ -11,12 +11,12 @@
     Parameters
     ----------
     before, after : Snapshot
-        Of the same directory.
+        Snapshots of the same directory.
 
     Notes
     -----
-    Records are compared by identity: a directory replaces a record only if it
-    has changed.
+    Records are compared by identity: a directory replaces a record only if its content
+    changes.
     """
     declared = after.declared if after.declared is not before.declared else None
     return Changes(
@@ -32,14 +32,14 @@
 
 
 def find_changed_evacuations(before, after):
-    """Return the new requests by data centre, and None for those taken back."""
+    """Return new evacuation requests by data centre, None for withdrawn ones."""
     changed = dict(after.items() - before.items())
     changed.update((name, None) for name in before.keys() - after.keys())
     return changed
 
 
 def find_changed_records(before, after):
-    """Return the records that are new or other, and None for those that are gone."""
+    """Return records that were added or changed by name, None for removed ones."""
     changed = {
         name: record for name, record in after.items() if before.get(name) is not record
     }
--- a/packages/hingesill-core/hingesill_core/discovery/directory.py
+++ b/packages/hingesill-core/hingesill_core/discovery/directory.py
@@ -1,9 +1,9 @@
-"""The newest declaration and endpoints that a node knows; it never goes back."""
+"""A node's view of the store, which never moves back to an older position."""
 
 from msgspec import Struct, field
 
 from hingesill_core.discovery.deferral import (
-    NODE_RETURN_SECONDS,
+    MISSING_NODE_SECONDS,
     compute_endpoint_deferral,
     compute_evacuation_deferral,
     compute_node_deferral,
@@ -17,20 +17,20 @@
 
 
 class Directory(Struct):
-    """What is believed, and what is in doubt.
+    """Known records of the store, and updates that are deferred.
 
     Attributes
     ----------
     position : Position
-        Changes of the store up to here are known.
-    declared : Declared or None
-        The newest declaration seen.
+        Position of the store up to which changes are known.
+    declared : DeclaredConfiguration or None
+        The newest known declaration.
     profile : Profile or None
-        What nodes have learnt of the services.
+        The nodes' observations of services.
     held : dict
         QuarantineRecord by fingerprint; it is replaced, never changed.
     returned_at : float
-        When the store last came back, in seconds of the node's clock.
+        When the store last became available again, in seconds of the node's clock.
     """
 
     position: Position = Position()
@@ -58,119 +58,121 @@
 
     @property
     def evacuated(self):
-        """By evacuated data centre, the revision of the request; replaced."""
+        """Revision of the request by evacuated data centre; replaced, never changed."""
         return self._listed_evacuated
 
     @property
     def generation(self):
-        """A number that grows with each change of what is believed."""
-        kinds = (self._endpoints, self._nodes, self._evacuated)
-        # Nodes are told whether their entries are doubted: they enter themselves again.
-        own = self._changes + self._nodes.doubted
-        return own + sum(kind.generation for kind in kinds)
+        """A number that grows with each change of the directory."""
+        tables = (self._endpoints, self._nodes, self._evacuated)
+        # Deferred removals of nodes are published, as these nodes register again.
+        own = self._changes + self._nodes.deferral_generation
+        return own + sum(table.generation for table in tables)
 
     @property
     def unlisted(self):
-        """Names of nodes that are believed though a restored store lacks them."""
-        return self._nodes.list_missing()
+        """Names of known nodes whose entries a restored store lacks."""
+        return self._nodes.list_unconfirmed()
 
-    def count_doubts(self):
-        """Return how many words of the store are doubted now, by kind."""
+    def count_deferred(self):
+        """Return the number of deferred updates by kind of record."""
         return {
-            "endpoints": len(self._endpoints.doubts),
-            "nodes": len(self._nodes.doubts),
-            "evacuations": len(self._evacuated.doubts),
+            "endpoints": len(self._endpoints.deferred),
+            "nodes": len(self._nodes.deferred),
+            "evacuations": len(self._evacuated.deferred),
         }
 
     def record_return(self, now):
-        """Take note that the store answers again after it did not."""
+        """Record that the store is available again after an outage."""
         self.returned_at = max(self.returned_at, now)
 
-    def is_restored_by(self, position):
-        """Tell whether a position is of a later era than what is known.
+    def is_from_later_era(self, position):
+        """Return whether a position belongs to a later era than the known one.
 
         Notes
         -----
-        Then it leads on, however low its revision: what the store told in the era
-        before is kept where the copy cannot know better. Nodes that went by revisions
-        alone would refuse all that a restored store tells, and put no later declaration
-        in force.
+        Such a position is later whatever its revision. Records of the earlier era are
+        kept where the restored copy may lack them. Nodes that compared revisions alone
+        would refuse all updates of a restored store, and put no later declaration in
+        force.
         """
         return self.position != Position() and position.era > self.position.era
 
-    def adopt(self, snapshot, now):
-        """Take everything at a position; return whether it leads further.
+    def apply_snapshot(self, snapshot, now):
+        """Apply the complete content of the store; return whether it was accepted.
 
         Notes
         -----
-        One that is behind what is known is refused: a stale read must not
-        bring back an endpoint that has left.
+        A snapshot of an earlier position is refused: a stale read must not bring back
+        an endpoint that has left.
         """
         if snapshot.position < self.position:
             return False
         is_restored = self._advance(snapshot.position)
-        self._read_endpoints(snapshot.endpoints, now, is_restored)
-        self._read_nodes(snapshot, now, is_restored)
-        self._read_evacuated(snapshot.evacuated, now, is_restored)
-        self._declare(snapshot.declared)
+        self._replace_endpoints(snapshot.endpoints, now, is_restored)
+        self._replace_nodes(snapshot, now, is_restored)
+        self._replace_evacuated(snapshot.evacuated, now, is_restored)
+        self._apply_declaration(snapshot.declared)
         if not (is_restored and self.profile is not None):
-            self._take_profile(snapshot.profile)
+            self._apply_profile(snapshot.profile)
         self._replace_held(snapshot.held)
-        self._list()
+        self._rebuild_listings()
         return True
 
-    def apply(self, changes, now):
-        """Take what changed after the known position; return whether it did."""
+    def apply_changes(self, changes, now):
+        """Apply changes after the known position; return whether they were accepted."""
         if changes.position < self.position:
             return False
         self._advance(changes.position)
-        for instance, told in changes.endpoints.items():
-            self._tell_endpoint(instance, told, now, is_written=True)
-        for name, told in changes.nodes.items():
-            self._nodes.tell(name, told, None, now, is_written=True)
+        for instance, reported in changes.endpoints.items():
+            self._update_endpoint(instance, reported, now, is_written=True)
+        for name, reported in changes.nodes.items():
+            self._nodes.update(name, reported, None, now, is_written=True)
         if changes.unlisted is not None:
-            self._doubt_nodes(changes.unlisted, now)
-        for name, told in changes.evacuated.items():
-            self._evacuated.tell(name, told, None, now, is_written=True)
-        self._declare(changes.declared)
-        self._take_profile(changes.profile)
+            self._defer_node_removals(changes.unlisted, now)
+        for name, reported in changes.evacuated.items():
+            self._evacuated.update(name, reported, None, now, is_written=True)
+        self._apply_declaration(changes.declared)
+        self._apply_profile(changes.profile)
         if changes.held:
             held = {**self.held, **changes.held}
             self._replace_held({k: v for k, v in held.items() if v is not None})
-        self._list()
+        self._rebuild_listings()
         return True
 
-    def learn(self, snapshot, now):
-        """Take what another node holds; return whether anything of it is new here.
+    def merge_snapshot(self, snapshot, now):
+        """Merge another node's snapshot; return whether it changed this directory.
 
         Notes
         -----
-        It may be cut off from the store and know an earlier era only. A declaration
-        that was accepted then counts all the same: the copy may lack it.
+        The other node may be cut off from the store and know only an earlier era. A
+        newer declaration of that era is still applied, as the restored copy may lack
+        it.
         """
         before = self.generation, self.position
         if snapshot.position > self.position:
-            self.adopt(snapshot, now)
+            self.apply_snapshot(snapshot, now)
         else:
-            self._declare_newer(snapshot.declared)
+            self._apply_newer_declaration(snapshot.declared)
         return before != (self.generation, self.position)
 
     def _advance(self, position):
-        """Go on to a position; return whether the store was restored before it."""
-        is_restored = self.is_restored_by(position)
+        """Move to a position; return whether it belongs to a later era."""
+        is_restored = self.is_from_later_era(position)
         if is_restored:
             self._changes += 1
         self.position = position
         return is_restored
 
-    def _declare(self, declared):
-        """Take a declaration unless a later version was accepted before.
+    def _apply_declaration(self, declared):
+        """Apply a declaration unless a later version is known.
 
         Notes
         -----
-        A restored store lacks versions that it had accepted. They stay in force, and
-        are told on, until it holds them or later ones. One that is written again with
-        other content under the same version is taken: it is the operator's last word.
+        A restored store may lack versions that it had accepted. They stay in force, and
+        are sent to other nodes, until the store has them or later ones. A version that
+        was written again with other content is applied, as it is the operator's latest
+        declaration.
         """
         known = self.declared
         if declared is None or declared == known:
@@ -179,67 +181,71 @@
             self.declared = declared
             self._changes += 1
 
-    def _declare_newer(self, declared):
+    def _apply_newer_declaration(self, declared):
         known = self.declared
         if known is None or (declared and declared.version > known.version):
-            self._declare(declared)
+            self._apply_declaration(declared)
 
-    def _take_profile(self, profile):
+    def _apply_profile(self, profile):
         if profile is not None and profile != self.profile:
             self.profile = profile
             self._changes += 1
 
     def _replace_held(self, held):
         if held != self.held:
-            self.held = keep_known(self.held, held)
+            self.held = reuse_unchanged(self.held, held)
             self._changes += 1
 
-    def _read_endpoints(self, told, now, is_restored):
-        missing = self.endpoints.keys() | self._endpoints.doubts.keys()
-        for instance, record in told.items():
-            self._tell_endpoint(instance, record, now, is_restored=is_restored)
-        for instance in missing - told.keys():
-            self._tell_endpoint(instance, None, now, is_restored=is_restored)
-
-    def _tell_endpoint(self, instance, told, now, is_written=False, is_restored=False):
-        kind = self._endpoints
-        known = kind.records.get(instance)
-        ended = kind.find_removed(instance, now) if is_restored else None
-        until = compute_endpoint_deferral(
-            known, ended, told, self.returned_at, now, is_restored
+    def _replace_endpoints(self, reported, now, is_restored):
+        missing = self.endpoints.keys() | self._endpoints.deferred.keys()
+        for instance, record in reported.items():
+            self._update_endpoint(instance, record, now, is_restored=is_restored)
+        for instance in missing - reported.keys():
+            self._update_endpoint(instance, None, now, is_restored=is_restored)
+
+    def _update_endpoint(
+        self, instance, reported, now, is_written=False, is_restored=False
+    ):
+        table = self._endpoints
+        known = table.records.get(instance)
+        removed = table.find_removed(instance, now) if is_restored else None
+        apply_at = compute_endpoint_deferral(
+            known, removed, reported, self.returned_at, now, is_restored
         )
-        kind.tell(instance, told, until, now, is_written, is_restored)
-
-    def _read_nodes(self, snapshot, now, is_restored):
-        kind = self._nodes
-        for name in kind.records.keys() | snapshot.nodes.keys():
-            told = snapshot.nodes.get(name)
-            until = compute_node_deferral(
-                kind.records.get(name), told, now, is_restored
+        table.update(instance, reported, apply_at, now, is_written, is_restored)
+
+    def _replace_nodes(self, snapshot, now, is_restored):
+        table = self._nodes
+        for name in table.records.keys() | snapshot.nodes.keys():
+            reported = snapshot.nodes.get(name)
+            apply_at = compute_node_deferral(
+                table.records.get(name), reported, now, is_restored
             )
-            kind.tell(name, told, until, now, is_restored=is_restored)
+            table.update(name, reported, apply_at, now, is_restored=is_restored)
         for name in snapshot.unlisted:
-            kind.tell(name, None, now + NODE_RETURN_SECONDS, now)
+            table.update(name, None, now + MISSING_NODE_SECONDS, now)
 
-    def _doubt_nodes(self, names, now):
-        """Believe those nodes for a while whom another node believes so, no others."""
-        kind = self._nodes
-        for name in kind.doubts.keys() - set(names):
-            kind.tell(name, kind.records.get(name), None, now, is_written=True)
+    def _defer_node_removals(self, names, now):
+        """Defer the removal of exactly the nodes whose removal another node defers."""
+        table = self._nodes
+        for name in table.deferred.keys() - set(names):
+            table.update(name, table.records.get(name), None, now, is_written=True)
         for name in names:
-            if name in kind.records and name not in kind.doubts:
-                kind.tell(name, None, now + NODE_RETURN_SECONDS, now)
-
-    def _read_evacuated(self, told, now, is_restored):
-        kind = self._evacuated
-        for name in kind.records.keys() | kind.doubts.keys() | told.keys():
-            known, word = kind.records.get(name), told.get(name)
-            ended = kind.find_removed(name, now)
-            until = compute_evacuation_deferral(known, ended, word, now, is_restored)
-            kind.tell(name, word, until, now, is_restored=is_restored)
-
-    def _list(self):
-        """Build anew the dicts that are replaced, where they have changed."""
+            if name in table.records and name not in table.deferred:
+                table.update(name, None, now + MISSING_NODE_SECONDS, now)
+
+    def _replace_evacuated(self, reported, now, is_restored):
+        table = self._evacuated
+        for name in table.records.keys() | table.deferred.keys() | reported.keys():
+            known, evacuated = table.records.get(name), reported.get(name)
+            removed = table.find_removed(name, now)
+            apply_at = compute_evacuation_deferral(
+                known, removed, evacuated, now, is_restored
+            )
+            table.update(name, evacuated, apply_at, now, is_restored=is_restored)
+
+    def _rebuild_listings(self):
+        """Rebuild the dicts of nodes and evacuations if these have changed."""
         nodes, evacuated = self._nodes, self._evacuated
         listed = nodes.generation, evacuated.generation
         if listed != self._listed:
@@ -247,27 +253,27 @@
             self._listed_nodes = dict(nodes.records)
             self._listed_evacuated = dict(evacuated.records)
 
-    def expire(self, now):
-        """Believe the words whose time is over; return the endpoints that are gone."""
-        gone = self._endpoints.expire(now)
-        self._nodes.expire(now)
-        self._evacuated.expire(now)
-        self._list()
+    def apply_due_updates(self, now):
+        """Apply the deferred updates that are due; return the endpoints removed."""
+        gone = self._endpoints.apply_due_updates(now)
+        self._nodes.apply_due_updates(now)
+        self._evacuated.apply_due_updates(now)
+        self._rebuild_listings()
         return gone
 
-    def get_next_expiry(self):
-        """Return when `expire` has something to do, or None."""
-        kinds = (self._endpoints, self._nodes, self._evacuated)
-        times = [kind.get_next_expiry() for kind in kinds]
+    def get_next_due_time(self):
+        """Return when the next deferred update is due, or None."""
+        tables = (self._endpoints, self._nodes, self._evacuated)
+        times = [table.get_next_due_time() for table in tables]
         return min((time for time in times if time is not None), default=None)
 
     def get_return_age(self, now):
-        """Return the seconds since the store's last return; None if none was seen."""
+        """Return the seconds since the store was last available again, or None."""
         age = now - self.returned_at
         return None if age == float("inf") else age
 
     def build_snapshot(self):
-        """Return all that is believed, for another node."""
+        """Return the directory's content for another node."""
         return Snapshot(
             self.position,
             self.declared,
@@ -280,8 +286,8 @@
         )
 
 
-def keep_known(known, records):
-    """Return records by name, the known ones where nothing has changed."""
+def reuse_unchanged(known, records):
+    """Return records by name; unchanged ones keep the known object."""
     return {
         name: known[name] if known.get(name) == record else record
         for name, record in records.items()
--- a/packages/hingesill-core/hingesill_core/discovery/fleetsize.py
+++ b/packages/hingesill-core/hingesill_core/discovery/fleetsize.py
@@ -1,4 +1,4 @@
-"""How many nodes share the fleet's budgets, counted with care."""
+"""The number of nodes that share the fleet's budgets."""
 
 from collections import deque
 
@@ -6,34 +6,35 @@
 
 __all__ = ["FleetSize"]
 
-# Entries may lapse all at once while the store is away, and their nodes live on.
-# Each node must not take the whole budget then: an outage of some seconds and the time
-# in which nodes enter themselves again, with room.
-HOLD_SECONDS = 30.0
+# Entries may lapse all at once while the store is unavailable, although their nodes
+# still run. Each node must not use the whole budget then. The window spans an outage of
+# some seconds and the time in which nodes register again, with a margin.
+FLEET_SIZE_WINDOW_SECONDS = 30.0
 
 
 class FleetSize(Struct):
-    """The largest count of the last while.
+    """The largest number of registered nodes within a sliding window.
 
     Attributes
     ----------
     counts : deque of tuple
-        Time and count, the largest first; a later and larger one replaces others.
+        Time and count in order of time, with counts that decrease: a later and larger
+        count replaces those before it.
     """
 
     counts: deque = field(default_factory=deque)
 
-    def note(self, count, now):
-        """Take a count; return the size to reckon with.
+    def record(self, count, now):
+        """Record a count; return the size of the fleet.
 
         Parameters
         ----------
         count : int
-            Nodes that are entered now.
+            Nodes that are registered now.
         now : float
-            Seconds of the node's clock; they never go back.
+            Seconds of the node's monotonic clock.
         """
-        while self.counts and self.counts[0][0] < now - HOLD_SECONDS:
+        while self.counts and self.counts[0][0] < now - FLEET_SIZE_WINDOW_SECONDS:
             self.counts.popleft()
         while self.counts and self.counts[-1][1] <= count:
             self.counts.pop()
--- a/packages/hingesill-core/hingesill_core/discovery/position.py
+++ b/packages/hingesill-core/hingesill_core/discovery/position.py
@@ -1,4 +1,4 @@
-"""How far a node knows a store: which of its eras, and which revision of that."""
+"""Positions in the store's history: an era and a revision within it."""
 
 from msgspec import Struct
 
@@ -8,16 +8,16 @@
 
 
 class Position(Struct, frozen=True, order=True, array_like=True):
-    """A revision with the era that it belongs to; compared as a pair.
+    """A revision of the store and its era; compared as a pair.
 
     Parameters
     ----------
     era : int
-        Rises by one each time that the store comes back from an older copy; 0 for a
-        store that does not tell.
+        Number of times that the store was restored from an older copy; 0 for a store
+        that does not report it.
     revision : int
-        Of the store. A copy's revisions are given out again, so that one alone tells
-        nothing of which of two is the later.
+        The store's revision. Revisions after a copy are assigned again once it is
+        restored, so a revision alone does not tell which of two states is later.
     """
 
     era: int = 0
@@ -28,7 +28,7 @@
 
 
 def parse_position(text):
-    """Return the Position that a text stands for; the first one if it is none."""
+    """Return the Position of a text; the initial position if the text is invalid."""
     era, _, revision = text.partition(SEPARATOR)
     if not (era.isdecimal() and revision.isdecimal()):
         return Position()
--- a/packages/hingesill-core/hingesill_core/discovery/records.py
+++ b/packages/hingesill-core/hingesill_core/discovery/records.py
@@ -1,4 +1,4 @@
-"""What a directory holds: the operator's declaration and the endpoints."""
+"""Records of a directory: the operator's declaration, endpoints and nodes."""
 
 from msgspec import Struct, field
 
@@ -26,14 +26,14 @@
     Parameters
     ----------
     name : str
-        Its name.
+        The service's name.
     health_path : str
-        Answers with the endpoint's load.
+        Path at which an endpoint reports its load.
     connections : int
-        What an endpoint takes from all nodes together.
+        Connections that an endpoint accepts from all nodes together.
     warm_up_rate : float
-        Requests a second that it bears from all nodes together while it is cold; 0 if
-        none is declared.
+        Requests per second that a cold endpoint accepts from all nodes together; 0 if
+        no rate is declared.
     """
 
     name: str
@@ -43,16 +43,16 @@
 
 
 class Limits(Struct, frozen=True):
-    """What callers may send and how long they may take.
+    """Limits of size and time for callers' requests.
 
     Parameters
     ----------
     body_bytes : int
-        Longest body.
+        Maximum length of a body.
     header_seconds : float
-        Longest time for a request's head.
+        Maximum time for receiving a request's head.
     idle_seconds : float
-        Longest rest of a caller's connection.
+        Maximum idle time of a caller's connection.
     """
 
     body_bytes: int = 64 * 1024 * 1024
@@ -61,7 +61,7 @@
 
 
 class DeclaredConfiguration(Struct, frozen=True):
-    """What the operator declared, whole.
+    """The operator's complete declaration.
 
     Parameters
     ----------
@@ -72,7 +72,7 @@
     routes : tuple of Route
         All routes.
     limits : Limits
-        For callers.
+        Limits for callers.
     """
 
     version: int
@@ -82,23 +82,24 @@
 
 
 class EndpointRecord(Struct, frozen=True):
-    """One endpoint's own entry.
+    """The entry that an endpoint writes for itself.
 
     Parameters
     ----------
     instance : str
-        Its identity; it may keep it when it starts again.
+        The endpoint's identity; a restarted endpoint may keep it.
     service, address, data_centre : str
-        What it serves, where it listens, where it runs.
+        The service it belongs to, the address it listens on, and its data centre.
     slots : int
-        Requests that it works on at a time.
+        Requests that it processes concurrently.
     leaving : bool
-        It takes no new work.
+        It accepts no new requests.
     warm_in : float
-        Seconds from the entry's write during which it is slow.
+        Warm-up time after the entry is written, in seconds, during which the endpoint
+        is slow.
     born : int
-        Unix milliseconds of its start, which tell its lives under one identity apart;
-        0 if it does not say.
+        Start time in Unix milliseconds, which distinguishes incarnations under one
+        identity; 0 if the entry does not include it.
     """
 
     instance: str
@@ -112,19 +113,18 @@
 
 
 class NodeRecord(Struct, frozen=True):
-    """Another node's own entry.
+    """The entry that a node writes for itself.
 
     Parameters
     ----------
     name : str
-        Of the VM; a process that starts anew there keeps it.
+        Name of the VM; a restarted process there keeps it.
     address : str
-        Where it tells other nodes what it holds.
+        Control address, at which the node serves its directory to other nodes.
     data_centre : str
-        Where it runs.
+        The node's data centre.
     strength : float
-        Processor time that it may use, in cores; the strongest nodes watch the
-        store for others.
+        Processor time that it may use, in cores; the strongest nodes are relays.
     """
 
     name: str
@@ -134,16 +134,17 @@
 
 
 class QuarantineRecord(Struct, frozen=True):
-    """A request that is sent to no endpoint, as endpoints ended under it.
+    """A request in quarantine: it is sent to no endpoint, as it crashed endpoints.
 
     Parameters
     ----------
     fingerprint : str
-        By which all nodes know it again.
+        The request's fingerprint, which is the same at all nodes.
     since, until : float
-        Unix seconds, by the clock of the node that wrote it.
+        Start and end of the quarantine in Unix seconds, by the clock of the node that
+        wrote the record.
     times : int
-        How often it has been held back.
+        How often the request has been quarantined.
     """
 
     fingerprint: str
@@ -153,27 +154,27 @@
 
 
 class Snapshot(Struct, frozen=True):
-    """Everything at one position of the store.
+    """The complete content of the store at one position.
 
     Parameters
     ----------
     position : Position
-        Changes up to here are in it.
-    declared : Declared or None
+        Position up to which changes are included.
+    declared : DeclaredConfiguration or None
         None before the operator's first declaration.
     endpoints : dict
         EndpointRecord by instance.
     nodes : dict
         NodeRecord by name.
     profile : Profile or None
-        What nodes have learnt; None if nothing is kept.
+        The nodes' observations of services; None if none are stored.
     evacuated : dict
-        By data centre, the revision at which the operator asked that nothing more be
-        sent to its endpoints.
+        Revision of the operator's request to evacuate a data centre, by data centre.
+        Endpoints there receive no new requests.
     held : dict
         QuarantineRecord by fingerprint.
     unlisted : tuple of str
-        Nodes that are believed though a restored store lacks their entries.
+        Known nodes whose entries a restored store lacks.
     """
 
     position: Position
@@ -187,26 +188,24 @@
 
 
 class Changes(Struct, frozen=True):
-    """What changed after a position, up to another.
+    """Changes of the store's content from one position to a later one.
 
     Parameters
     ----------
     position : Position
         The later position.
-    declared : Declared or None
+    declared : DeclaredConfiguration or None
         None if it did not change.
     endpoints, nodes : dict
-        Records as they were written; None for those that are gone.
+        Records that were written; None for removed ones.
     profile : Profile or None
         None if it did not change.
     evacuated : dict
-        Data centres that were evacuated, with the revision; None for those that were
-        restored.
+        Revision of new evacuation requests by data centre; None for withdrawn ones.
     held : dict
-        QuarantineRecord as they were written; None for those that were let go.
+        QuarantineRecord by fingerprint; None for removed ones.
     unlisted : tuple of str or None
-        Nodes that are believed though a restored store lacks their entries; None if
-        they are the same as before.
+        Known nodes whose entries a restored store lacks; None if they did not change.
     """
 
     position: Position
@@ -220,16 +219,16 @@
 
 
 class StoreRestored(Struct, frozen=True):
-    """The store came back from an older copy; the whole must be read again.
+    """The store was restored from an older copy; a full read is needed.
 
     Parameters
     ----------
     era : int
-        Of the store as it is now.
+        The store's current era.
     """
 
     era: int
 
 
 class HistoryGone(Struct, frozen=True):
-    """The store no longer tells what changed; the whole must be read again."""
+    """The store has dropped the history of changes; a full read is needed."""
--- a/packages/hingesill-core/hingesill_core/discovery/recordtable.py
+++ b/packages/hingesill-core/hingesill_core/discovery/recordtable.py
@@ -1,36 +1,38 @@
-"""Records that are believed, and what the store says against some of them."""
+"""Known records of one kind, and store updates that are not applied yet."""
 
 from msgspec import Struct, field
 
-__all__ = ["RecordTable", "DeferredUpdate", "Ended"]
+__all__ = ["DeferredUpdate", "RecordTable", "RemovedRecord"]
 
-# A copy of the store that is older than that brings back what ended before: a copy is
-# some seconds old, and the store's history spans 20 s.
-COPY_SECONDS = 60.0
-# Of what ended, as a guard of memory; twice as many as the endpoints of a large fleet.
-MOST_ENDED = 60_000
+# A store restored from a copy brings back records that were removed after the copy was
+# made. A copy is some seconds old, and the store's history spans 20 s.
+MAX_COPY_AGE_SECONDS = 60.0
+# Removed records that are remembered, to bound memory; twice the endpoints of a large
+# fleet.
+MAX_REMOVED_RECORDS = 60_000
 
 
 class DeferredUpdate(Struct, frozen=True):
-    """A word of the store that is not believed yet.
+    """An update of the store that is not applied yet.
 
     Parameters
     ----------
-    told : object
-        The record; None if the store has none.
-    until : float
-        It is believed then if it still stands, in seconds of the node's clock.
+    record : object
+        The record; None for a removal.
+    apply_at : float
+        When it is applied unless a later update replaces it, in seconds of the node's
+        clock.
     """
 
-    told: object
-    until: float
+    record: object
+    apply_at: float
 
 
-class Ended(Struct, frozen=True):
-    """A record that is no longer believed, and when that began."""
+class RemovedRecord(Struct, frozen=True):
+    """A record that was removed, with the time of its removal."""
 
     record: object
-    at: float
+    removed_at: float
 
 
 class RecordTable(Struct):
@@ -39,108 +41,111 @@
     Attributes
     ----------
     records : dict
-        What is believed.
-    doubts : dict
-        Doubt by name.
-    ended : dict
-        Ended by name, of the last minute.
+        The known records.
+    deferred : dict
+        DeferredUpdate by name.
+    removed : dict
+        RemovedRecord by name, of the last minute.
     generation : int
         Grows with each change of the records.
-    doubted : int
-        Grows with each doubt that begins or ends.
+    deferral_generation : int
+        Grows when a deferral begins or ends.
     """
 
     records: dict = field(default_factory=dict)
-    doubts: dict = field(default_factory=dict)
-    ended: dict = field(default_factory=dict)
+    deferred: dict = field(default_factory=dict)
+    removed: dict = field(default_factory=dict)
     generation: int = 0
-    doubted: int = 0
+    deferral_generation: int = 0
 
-    def tell(self, name, told, until, now, is_written=False, is_restored=False):
-        """Take the store's word of one name.
+    def update(self, name, record, apply_at, now, is_written=False, is_restored=False):
+        """Apply or defer an update of the store.
 
         Parameters
         ----------
         name : str
-            Of whom.
-        told : object
-            The record; None if there is none.
-        until : float or None
-            The word is doubted so long; None to believe it now.
+            The record's name.
+        record : object
+            The record; None for a removal.
+        apply_at : float or None
+            When to apply the update; None to apply it now.
         now : float
             Seconds of the node's clock.
         is_written : bool
-            It has just been written, so what is doubted for its age is believed. A
-            whole read repeats what was read before.
+            The record has just been written, so a deferred update of the same content
+            is applied. A full read only repeats earlier content and leaves it deferred.
         is_restored : bool
-            The store has just come back from an older copy: doubts begin anew.
+            The store was just restored from an older copy: deferrals start again.
         """
-        doubt = self.doubts.get(name)
-        is_repeated = doubt is not None and doubt.told == told and not is_written
-        if until is None and not is_repeated:
-            self._drop_doubt(name)
-            self._believe(name, told, now)
-        elif until is not None:
-            if is_put_off(doubt, told) and not is_restored:
-                until = min(until, doubt.until)
-            self.doubted += doubt is None
-            self.doubts[name] = DeferredUpdate(told, until)
-
-    def _drop_doubt(self, name):
-        self.doubted += self.doubts.pop(name, None) is not None
-
-    def _believe(self, name, record, now):
+        deferred = self.deferred.get(name)
+        is_repeated = (
+            deferred is not None and deferred.record == record and not is_written
+        )
+        if apply_at is None and not is_repeated:
+            self._cancel_deferred(name)
+            self._set(name, record, now)
+        elif apply_at is not None:
+            if would_extend_deferral(deferred, record) and not is_restored:
+                apply_at = min(apply_at, deferred.apply_at)
+            self.deferral_generation += deferred is None
+            self.deferred[name] = DeferredUpdate(record, apply_at)
+
+    def _cancel_deferred(self, name):
+        self.deferral_generation += self.deferred.pop(name, None) is not None
+
+    def _set(self, name, record, now):
         if record is None:
-            self._end(name, now)
+            self._remove(name, now)
             return
-        self.ended.pop(name, None)
-        # The known one stays where nothing has changed: what changed is found by
-        # identity.
+        self.removed.pop(name, None)
+        # An equal record keeps the known object: changes are found by identity.
         if self.records.get(name) != record:
             self.records[name] = record
             self.generation += 1
 
-    def _end(self, name, now):
+    def _remove(self, name, now):
         record = self.records.pop(name, None)
         if record is None:
             return
         self.generation += 1
-        self.ended[name] = Ended(record, now)
-        self._forget_ended(now)
-
-    def _forget_ended(self, now):
-        """Forget what ended too long ago to matter, the first of the dict first."""
-        while self.ended:
-            first = next(iter(self.ended))
-            is_late = now - self.ended[first].at > COPY_SECONDS
-            if not is_late and len(self.ended) <= MOST_ENDED:
+        self.removed[name] = RemovedRecord(record, now)
+        self._prune_removed(now)
+
+    def _prune_removed(self, now):
+        """Drop removed records that are too old, in order of removal."""
+        while self.removed:
+            oldest = next(iter(self.removed))
+            is_expired = now - self.removed[oldest].removed_at > MAX_COPY_AGE_SECONDS
+            if not is_expired and len(self.removed) <= MAX_REMOVED_RECORDS:
                 return
-            del self.ended[first]
+            del self.removed[oldest]
 
     def find_removed(self, name, now):
-        """Return the record of a name that ended lately, or None."""
-        ended = self.ended.get(name)
-        if ended is None or now - ended.at > COPY_SECONDS:
+        """Return the record of a name that was removed in the last minute, or None."""
+        removed = self.removed.get(name)
+        if removed is None or now - removed.removed_at > MAX_COPY_AGE_SECONDS:
             return None
-        return ended.record
-
-    def expire(self, now):
-        """Believe the words whose time is over; return the names that are gone."""
-        due = {name: d.told for name, d in self.doubts.items() if d.until <= now}
-        for name, told in due.items():
-            self._drop_doubt(name)
-            self._believe(name, told, now)
-        return [name for name, told in due.items() if told is None]
-
-    def get_next_expiry(self):
-        """Return when `expire` has something to do, or None."""
-        return min((doubt.until for doubt in self.doubts.values()), default=None)
-
-    def list_missing(self):
-        """Return the names that are believed though the store has none, sorted."""
-        return tuple(sorted(n for n, d in self.doubts.items() if d.told is None))
-
-
-def is_put_off(doubt, told):
-    """Tell whether a doubt of a record would be made longer by another word of it."""
-    return doubt is not None and doubt.told is not None and told is not None
+        return removed.record
+
+    def apply_due_updates(self, now):
+        """Apply the deferred updates that are due; return the names removed."""
+        due = {name: d.record for name, d in self.deferred.items() if d.apply_at <= now}
+        for name, record in due.items():
+            self._cancel_deferred(name)
+            self._set(name, record, now)
+        return [name for name, record in due.items() if record is None]
+
+    def get_next_due_time(self):
+        """Return when the next deferred update is due, or None."""
+        return min(
+            (deferred.apply_at for deferred in self.deferred.values()), default=None
+        )
+
+    def list_unconfirmed(self):
+        """Return the names of known records whose removal is deferred, sorted."""
+        return tuple(sorted(n for n, d in self.deferred.items() if d.record is None))
+
+
+def would_extend_deferral(deferred, record):
+    """Return whether a new deferral would postpone a deferred record."""
+    return deferred is not None and deferred.record is not None and record is not None
--- a/packages/hingesill-core/hingesill_core/discovery/relays.py
+++ b/packages/hingesill-core/hingesill_core/discovery/relays.py
@@ -1,31 +1,31 @@
-"""Which nodes watch the store for others: the relays, worked out by each node."""
+"""The relays, which watch the store for other nodes; each node computes them."""
 
 from msgspec import Struct, field
 
 __all__ = ["RelayChoice", "list_relays"]
 
-# Followers of one relay, counted by the nodes of its data centre: 200 heartbeats of a
-# few bytes a second.
-NODES_A_RELAY = 80
+# Nodes of a data centre per relay there. A relay then sends 200 heartbeats of a few
+# bytes per second to all of its followers together.
+NODES_PER_RELAY = 80
 # Initial and longest back-off of a relay that failed, in seconds; it doubles with each
 # further failure.
-FIRST_REST = 0.3
-LONGEST_REST = 1.2
+INITIAL_BACKOFF_SECONDS = 0.3
+MAX_BACKOFF_SECONDS = 1.2
 
 
 def list_relays(nodes):
-    """Return the relays among nodes, those of all data centres.
+    """Return the relays of all data centres.
 
     Parameters
     ----------
     nodes : iterable of NodeRecord
-        All that are entered.
+        All registered nodes.
 
     Notes
     -----
-    All nodes work out the same from the same entries, so nothing has to be
-    agreed. The strongest of each data centre are taken; those that are equally
-    strong by their names.
+    All nodes compute the same relays from the same entries, so no election is needed.
+    The relays of a data centre are its strongest nodes; equally strong nodes are
+    ordered by name.
     """
     by_data_centre = {}
     for node in nodes:
@@ -33,12 +33,12 @@
     relays = []
     for members in by_data_centre.values():
         members.sort(key=lambda node: (-node.strength, node.name))
-        relays.extend(members[: 1 + len(members) // NODES_A_RELAY])
+        relays.extend(members[: 1 + len(members) // NODES_PER_RELAY])
     return relays
 
 
 class RelayChoice(Struct):
-    """Whom one node follows.
+    """Selects the relay that a node follows.
 
     Parameters
     ----------
@@ -50,15 +50,15 @@
     Attributes
     ----------
     backoff_until : dict
-        Until when a relay that failed is passed over, by name, in seconds of the
-        node's clock.
+        Until when a relay that failed is skipped, by name, in seconds of the node's
+        clock.
     failures : dict
-        Failures in a row by name.
+        Consecutive failures by name.
 
     Notes
     -----
-    Whether a node is a relay is asked for each frame that it gets, so the relays are
-    worked out only once for the same nodes.
+    `is_relay` is called for each frame that a node receives, so the relays are cached
+    for the same nodes.
     """
 
     own: object
@@ -69,59 +69,59 @@
     _relays: list = field(default_factory=list)
 
     def is_relay(self, nodes):
-        """Tell whether this node watches the store for others.
+        """Return whether this node watches the store for other nodes.
 
         Parameters
         ----------
         nodes : dict
             See `choose`.
         """
-        return any(relay.name == self.own.name for relay in self._list(nodes))
+        return any(relay.name == self.own.name for relay in self._get_relays(nodes))
 
-    def _list(self, nodes):
-        """Return the relays among nodes, worked out anew if these are others."""
+    def _get_relays(self, nodes):
+        """Return the relays among nodes; compute them again if the nodes changed."""
         if nodes is not self._nodes:
             self._nodes = nodes
             self._relays = list_relays(nodes.values())
         return self._relays
 
     def choose(self, nodes, now):
-        """Return the relay to follow now, or None to watch the store oneself.
+        """Return the relay to follow now, or None to watch the store directly.
 
         Parameters
         ----------
         nodes : dict
-            All NodeRecords that are entered, by name; it is replaced, never changed.
+            NodeRecord of all registered nodes by name; it is replaced, never changed.
         now : float
             Seconds of the node's clock.
 
         Notes
         -----
-        One in the own data centre goes before all others. A relay follows
-        nobody, so that no two nodes ever follow each other.
+        Relays in the node's own data centre are preferred. A relay follows no other
+        node, so that no two nodes ever follow each other.
         """
-        relays = self._list(nodes)
+        relays = self._get_relays(nodes)
         if any(relay.name == self.own.name for relay in relays):
             return None
         usable = [
             relay for relay in relays if self.backoff_until.get(relay.name, now) <= now
         ]
-        near = [r for r in usable if r.data_centre == self.own.data_centre]
-        choices = near or usable
+        local = [r for r in usable if r.data_centre == self.own.data_centre]
+        choices = local or usable
         return self.rng.choice(choices) if choices else None
 
     def record_failure(self, relay, now):
-        """Pass a relay over from ``now`` on, in seconds of the node's clock."""
+        """Skip a relay for its back-off; ``now`` is in seconds of the node's clock."""
         failures = self.failures.get(relay.name, 0)
         self.failures[relay.name] = failures + 1
-        rest = min(LONGEST_REST, FIRST_REST * 2**failures)
-        self.backoff_until[relay.name] = now + rest
+        backoff = min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2**failures)
+        self.backoff_until[relay.name] = now + backoff
 
     def record_success(self, relay):
-        """Forget the failures of a relay that serves this node."""
+        """Reset the failures of a relay that serves this node."""
         self.failures.pop(relay.name, None)
 
-    def forget_failures(self):
-        """Try all relays again: what kept them from serving may be over."""
+    def reset_failures(self):
+        """Reset all back-offs, as the cause of the failures may be over."""
         self.failures.clear()
         self.backoff_until.clear()
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_difference.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_difference.py
@@ -23,7 +23,7 @@
         self.directory = Directory()
         endpoints = {name: build_endpoint(name) for name in ("i1", "i2")}
         nodes = {"n1": NodeRecord("n1", "10.0.0.2:1", "a")}
-        self.directory.adopt(
+        self.directory.apply_snapshot(
             Snapshot(
                 Position(0, 3), DeclaredConfiguration(1, (), ()), endpoints, nodes
             ),
@@ -40,12 +40,12 @@
     def test_what_changed_leads_from_one_to_the_other(self):
         gone = {"i1": None, "i2": build_endpoint("i2", True)}
         nodes = {"n2": NodeRecord("n2", "10.0.0.3:1", "a")}
-        self.directory.apply(
+        self.directory.apply_changes(
             Changes(Position(0, 5), DeclaredConfiguration(2, (), ()), gone, nodes), 0.0
         )
         other = Directory()
-        other.adopt(self.before, 0.0)
-        other.apply(self.find(), 0.0)
+        other.apply_snapshot(self.before, 0.0)
+        other.apply_changes(self.find(), 0.0)
         self.assertEqual(other.build_snapshot(), self.directory.build_snapshot())
 
     def test_a_whole_read_that_repeats_what_is_known_is_no_change(self):
@@ -54,7 +54,9 @@
             "n1": NodeRecord("n1", "10.0.0.2:1", "a"),
             "n2": NodeRecord("n2", "10.0.0.3:1", "a"),
         }
-        self.directory.adopt(Snapshot(Position(0, 4), None, endpoints, nodes), 0.0)
+        self.directory.apply_snapshot(
+            Snapshot(Position(0, 4), None, endpoints, nodes), 0.0
+        )
         self.assertEqual(
             self.find(), Changes(Position(0, 4), nodes={"n2": nodes["n2"]})
         )
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_directory.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_directory.py
@@ -6,7 +6,7 @@
 
 from hingesill_core.configuration.services import Route, SendBudget, WeightedService
 from hingesill_core.discovery.assembly import ServiceRules, build_services
-from hingesill_core.discovery.deferral import RETURN_SECONDS
+from hingesill_core.discovery.deferral import MISSING_ENDPOINT_SECONDS
 from hingesill_core.discovery.directory import Directory
 from hingesill_core.discovery.position import Position
 from hingesill_core.discovery.records import (
@@ -40,20 +40,20 @@
 class AdoptTests(unittest.TestCase):
     def test_a_stale_read_changes_nothing(self):
         directory = Directory()
-        directory.adopt(build_snapshot(10, "i1"), 0.0)
-        self.assertFalse(directory.adopt(build_snapshot(9, "i1", "i2"), 1.0))
+        directory.apply_snapshot(build_snapshot(10, "i1"), 0.0)
+        self.assertFalse(directory.apply_snapshot(build_snapshot(9, "i1", "i2"), 1.0))
         self.assertEqual(list(directory.endpoints), ["i1"])
 
     def test_an_older_declaration_never_replaces_a_newer_one(self):
         directory = Directory()
-        directory.adopt(Snapshot(Position(0, 10), build_declared(7)), 0.0)
-        directory.apply(Changes(Position(0, 11), build_declared(6)), 1.0)
+        directory.apply_snapshot(Snapshot(Position(0, 10), build_declared(7)), 0.0)
+        directory.apply_changes(Changes(Position(0, 11), build_declared(6)), 1.0)
         self.assertEqual(directory.declared.version, 7)
 
     def test_what_a_read_lacks_is_gone(self):
         directory = Directory()
-        directory.adopt(build_snapshot(10, "i1", "i2"), 0.0)
-        directory.adopt(build_snapshot(11, "i2"), 1.0)
+        directory.apply_snapshot(build_snapshot(10, "i1", "i2"), 0.0)
+        directory.apply_snapshot(build_snapshot(11, "i2"), 1.0)
         self.assertEqual(list(directory.endpoints), ["i2"])
 
     @given(st.lists(st.integers(1, 30), max_size=20))
@@ -61,7 +61,7 @@
         directory = Directory()
         seen = 0
         for revision, version in enumerate(versions, 1):
-            directory.apply(
+            directory.apply_changes(
                 Changes(Position(0, revision), build_declared(version)), 0.0
             )
             self.assertGreaterEqual(directory.declared.version, seen)
@@ -71,33 +71,39 @@
 class OutageTests(unittest.TestCase):
     def setUp(self):
         self.directory = Directory()
-        self.directory.adopt(build_snapshot(10, "i1", "i2"), 0.0)
+        self.directory.apply_snapshot(build_snapshot(10, "i1", "i2"), 0.0)
         self.directory.record_return(20.0)
 
     def test_an_entry_that_lapsed_is_believed_for_a_while(self):
-        self.directory.adopt(build_snapshot(12, "i1"), 20.0)
+        self.directory.apply_snapshot(build_snapshot(12, "i1"), 20.0)
         self.assertEqual(sorted(self.directory.endpoints), ["i1", "i2"])
-        self.assertEqual(self.directory.expire(20.0 + RETURN_SECONDS / 2), [])
-        self.assertEqual(self.directory.expire(20.0 + RETURN_SECONDS), ["i2"])
+        self.assertEqual(
+            self.directory.apply_due_updates(20.0 + MISSING_ENDPOINT_SECONDS / 2), []
+        )
+        self.assertEqual(
+            self.directory.apply_due_updates(20.0 + MISSING_ENDPOINT_SECONDS), ["i2"]
+        )
         self.assertEqual(list(self.directory.endpoints), ["i1"])
 
     def test_an_entry_that_comes_back_stays(self):
-        self.directory.adopt(build_snapshot(12, "i1"), 20.0)
-        self.directory.apply(
+        self.directory.apply_snapshot(build_snapshot(12, "i1"), 20.0)
+        self.directory.apply_changes(
             Changes(Position(0, 13), None, {"i2": build_record("i2")}), 21.0
         )
-        self.assertEqual(self.directory.expire(30.0), [])
+        self.assertEqual(self.directory.apply_due_updates(30.0), [])
         self.assertIn("i2", self.directory.endpoints)
 
     def test_one_that_was_leaving_is_not_believed(self):
         leaving = build_record("i2", leaving=True)
-        self.directory.apply(Changes(Position(0, 12), None, {"i2": leaving}), 20.0)
-        self.directory.apply(Changes(Position(0, 13), None, {"i2": None}), 20.5)
+        self.directory.apply_changes(
+            Changes(Position(0, 12), None, {"i2": leaving}), 20.0
+        )
+        self.directory.apply_changes(Changes(Position(0, 13), None, {"i2": None}), 20.5)
         self.assertNotIn("i2", self.directory.endpoints)
 
     def test_a_removal_long_after_the_return_counts_at_once(self):
-        now = 20.0 + RETURN_SECONDS + 0.1
-        self.directory.apply(Changes(Position(0, 12), None, {"i2": None}), now)
+        now = 20.0 + MISSING_ENDPOINT_SECONDS + 0.1
+        self.directory.apply_changes(Changes(Position(0, 12), None, {"i2": None}), now)
         self.assertNotIn("i2", self.directory.endpoints)
 
 
@@ -105,7 +111,7 @@
     def test_leaving_endpoints_are_left_out(self):
         directory = Directory(declared=build_declared(1))
         records = [build_record("i1"), build_record("i2", leaving=True)]
-        directory.apply(
+        directory.apply_changes(
             Changes(Position(0, 1), None, {r.instance: r for r in records}), 0.0
         )
         service = build_services(directory, RULES)["arena"]
@@ -114,7 +120,7 @@
     def test_an_address_used_again_is_another_endpoint(self):
         directory = Directory(declared=build_declared(1))
         records = [build_record("i1"), build_record("i2")]
-        directory.apply(
+        directory.apply_changes(
             Changes(Position(0, 1), None, {r.instance: r for r in records}), 0.0
         )
         service = build_services(directory, RULES)["arena"]
@@ -138,7 +144,7 @@
     def test_nodes_come_and_go(self):
         directory = Directory()
         node = NodeRecord("n1", "10.0.0.9:7000", "a")
-        directory.apply(Changes(Position(0, 1), None, {}, {"n1": node}), 0.0)
+        directory.apply_changes(Changes(Position(0, 1), None, {}, {"n1": node}), 0.0)
         self.assertEqual(directory.nodes, {"n1": node})
-        directory.apply(Changes(Position(0, 2), None, {}, {"n1": None}), 0.0)
+        directory.apply_changes(Changes(Position(0, 2), None, {}, {"n1": None}), 0.0)
         self.assertEqual(directory.nodes, {})
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_evacuations.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_evacuations.py
@@ -28,7 +28,7 @@
         for name in DATA_CENTRES
     }
     directory = Directory()
-    directory.adopt(Snapshot(Position(0, 1), declared, endpoints), 0.0)
+    directory.apply_snapshot(Snapshot(Position(0, 1), declared, endpoints), 0.0)
     return directory
 
 
@@ -42,7 +42,9 @@
         self.directory = build_directory()
 
     def evacuate(self, revision, **requested):
-        self.directory.apply(Changes(Position(0, revision), evacuated=requested), 0.0)
+        self.directory.apply_changes(
+            Changes(Position(0, revision), evacuated=requested), 0.0
+        )
 
     def test_its_endpoints_get_nothing_until_it_is_restored(self):
         self.evacuate(5, b=5)
@@ -78,17 +80,19 @@
     def test_an_endpoint_that_comes_meanwhile_gets_nothing(self):
         self.evacuate(5, b=5)
         record = EndpointRecord("i-new", "arena", "10.0.0.2:80", "b", 2)
-        self.directory.apply(Changes(Position(0, 6), endpoints={"i-new": record}), 0.0)
+        self.directory.apply_changes(
+            Changes(Position(0, 6), endpoints={"i-new": record}), 0.0
+        )
         self.assertEqual(list_endpoints(self.directory), ["i-a", "i-c"])
 
     def test_a_stale_read_does_not_end_it(self):
         self.evacuate(5, b=5)
-        self.directory.adopt(build_directory().build_snapshot(), 0.0)
+        self.directory.apply_snapshot(build_directory().build_snapshot(), 0.0)
         self.assertEqual(self.directory.evacuated, {"b": 5})
 
     def test_a_later_read_ends_it(self):
         self.evacuate(5, b=5)
-        self.directory.adopt(
+        self.directory.apply_snapshot(
             Snapshot(Position(0, 6), None, self.directory.endpoints), 0.0
         )
         self.assertEqual(self.directory.evacuated, {})
@@ -127,11 +131,11 @@
             revision = data.draw(st.integers(1, len(states)))
             if data.draw(st.booleans()):
                 read = Snapshot(Position(0, revision), evacuated=states[revision - 1])
-                directory.adopt(read, 0.0)
+                directory.apply_snapshot(read, 0.0)
             elif revision > directory.position.revision:
                 known = Snapshot(directory.position, evacuated=directory.evacuated)
                 told = Snapshot(Position(0, revision), evacuated=states[revision - 1])
-                directory.apply(find_changes(known, told), 0.0)
+                directory.apply_changes(find_changes(known, told), 0.0)
             self.assertEqual(
                 directory.evacuated, states[directory.position.revision - 1]
             )
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_relays.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_relays.py
@@ -5,8 +5,8 @@
 
 from hingesill_core.discovery.records import NodeRecord
 from hingesill_core.discovery.relays import (
-    LONGEST_REST,
-    NODES_A_RELAY,
+    MAX_BACKOFF_SECONDS,
+    NODES_PER_RELAY,
     RelayChoice,
     list_relays,
 )
@@ -28,7 +28,7 @@
         self.assertEqual(names, ["n2", "n3"])
 
     def test_large_data_centres_have_more(self):
-        nodes = [build_node(f"n{number:04}") for number in range(2 * NODES_A_RELAY)]
+        nodes = [build_node(f"n{number:04}") for number in range(2 * NODES_PER_RELAY)]
         self.assertEqual(len(list_relays(nodes)), 3)
 
     def test_all_nodes_work_out_the_same(self):
@@ -59,7 +59,7 @@
     def test_one_that_failed_is_passed_over_and_tried_again(self):
         self.choice.record_failure(self.nodes["relay-a"], 5.0)
         self.assertEqual(self.choice.choose(self.nodes, 5.1).name, "relay-b")
-        later = 5.0 + LONGEST_REST
+        later = 5.0 + MAX_BACKOFF_SECONDS
         self.assertEqual(self.choice.choose(self.nodes, later).name, "relay-a")
 
     def test_other_nodes_lead_to_other_relays(self):
@@ -75,7 +75,7 @@
     def test_rests_grow_with_failures_in_a_row(self):
         for _ in range(9):
             self.choice.record_failure(self.nodes["relay-a"], 5.0)
-        almost = 5.0 + LONGEST_REST - 0.01
+        almost = 5.0 + MAX_BACKOFF_SECONDS - 0.01
         self.assertEqual(self.choice.choose(self.nodes, almost).name, "relay-b")
         self.choice.record_success(self.nodes["relay-a"])
         self.choice.record_failure(self.nodes["relay-a"], 6.0)
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_restores.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_restores.py
@@ -9,10 +9,10 @@
 from hypothesis import given, strategies as st
 
 from hingesill_core.discovery.deferral import (
-    COPY_WORD_SECONDS,
-    EVACUATION_SECONDS,
-    NODE_RETURN_SECONDS,
-    RETURN_SECONDS,
+    EVACUATION_DEFERRAL_SECONDS,
+    MISSING_ENDPOINT_SECONDS,
+    MISSING_NODE_SECONDS,
+    REVIVED_ENDPOINT_SECONDS,
 )
 from hingesill_core.discovery.difference import find_changes
 from hingesill_core.discovery.directory import Directory
@@ -46,19 +46,23 @@
 
     def setUp(self):
         self.directory = Directory()
-        self.adopt(1, 81, 0.0, build_record("i1"), build_record("i2"), nodes=NODES)
+        self.apply_snapshot(
+            1, 81, 0.0, build_record("i1"), build_record("i2"), nodes=NODES
+        )
 
-    def adopt(self, era, revision, now, *records, **fields):
+    def apply_snapshot(self, era, revision, now, *records, **fields):
         endpoints = list_records(*records)
         snapshot = Snapshot(Position(era, revision), endpoints=endpoints, **fields)
-        return self.directory.adopt(snapshot, now)
+        return self.directory.apply_snapshot(snapshot, now)
 
     def write(self, era, revision, now, **fields):
-        return self.directory.apply(Changes(Position(era, revision), **fields), now)
+        return self.directory.apply_changes(
+            Changes(Position(era, revision), **fields), now
+        )
 
     def restore(self, *records, era=2, now=BACK, **fields):
         self.directory.record_return(now)
-        self.assertTrue(self.adopt(era, 65, now, *records, **fields))
+        self.assertTrue(self.apply_snapshot(era, 65, now, *records, **fields))
 
 
 class DeclarationTests(RestoreCase):
@@ -87,22 +91,22 @@
 
     def test_a_late_answer_of_the_era_before_changes_nothing(self):
         self.restore(declared=build_declared(21))
-        self.assertFalse(self.adopt(1, 90, 21.0, declared=build_declared(30)))
+        self.assertFalse(self.apply_snapshot(1, 90, 21.0, declared=build_declared(30)))
         self.assertFalse(self.write(1, 91, 21.0, declared=build_declared(31)))
         self.assertEqual(self.get_version(), 24)
 
     def test_another_node_that_is_cut_off_tells_what_the_copy_lacks(self):
         fresh = Directory()
-        fresh.adopt(Snapshot(Position(2, 65), build_declared(21)), 0.0)
-        self.assertTrue(fresh.learn(self.directory.build_snapshot(), 0.0))
+        fresh.apply_snapshot(Snapshot(Position(2, 65), build_declared(21)), 0.0)
+        self.assertTrue(fresh.merge_snapshot(self.directory.build_snapshot(), 0.0))
         self.assertEqual(fresh.declared.version, 24)
         self.assertEqual(fresh.position, Position(2, 65))
-        self.assertFalse(fresh.learn(self.directory.build_snapshot(), 0.0))
+        self.assertFalse(fresh.merge_snapshot(self.directory.build_snapshot(), 0.0))
 
     def test_a_store_without_eras_goes_by_revisions(self):
         directory = Directory()
-        directory.adopt(Snapshot(Position(0, 81)), 0.0)
-        self.assertFalse(directory.adopt(Snapshot(Position(0, 65)), 1.0))
+        directory.apply_snapshot(Snapshot(Position(0, 81)), 0.0)
+        self.assertFalse(directory.apply_snapshot(Snapshot(Position(0, 65)), 1.0))
 
     @given(st.lists(st.tuples(st.integers(1, 4), st.integers(1, 30)), max_size=20))
     def test_versions_only_grow(self, told):
@@ -110,7 +114,7 @@
         seen = 0
         for number, (era, version) in enumerate(told):
             position = Position(era, number % 7)
-            directory.adopt(Snapshot(position, build_declared(version)), 0.0)
+            directory.apply_snapshot(Snapshot(position, build_declared(version)), 0.0)
             if directory.declared is not None:
                 self.assertGreaterEqual(directory.declared.version, seen)
                 seen = directory.declared.version
@@ -124,7 +128,7 @@
     def test_missing_ones_are_believed_until_they_must_be_back(self):
         self.restore(build_record("i1"))
         self.assertEqual(self.list_working(), ["i1", "i2"])
-        self.directory.expire(BACK + RETURN_SECONDS)
+        self.directory.apply_due_updates(BACK + MISSING_ENDPOINT_SECONDS)
         self.assertEqual(self.list_working(), ["i1"])
 
     def test_one_that_ended_since_gets_no_new_work(self):
@@ -132,10 +136,10 @@
         self.restore(build_record("i1"), build_record("i2"))
         self.assertEqual(self.list_working(), ["i1"])
         # Another whole read repeats the copy's word; it is no news of the endpoint.
-        self.adopt(2, 66, BACK + 1.0, build_record("i1"), build_record("i2"))
+        self.apply_snapshot(2, 66, BACK + 1.0, build_record("i1"), build_record("i2"))
         self.assertEqual(self.list_working(), ["i1"])
         self.write(2, 67, BACK + 4.0, endpoints={"i2": None})
-        self.directory.expire(BACK + COPY_WORD_SECONDS)
+        self.directory.apply_due_updates(BACK + REVIVED_ENDPOINT_SECONDS)
         self.assertEqual(self.list_working(), ["i1"])
 
     def test_one_that_was_given_up_and_lives_is_believed_when_it_writes(self):
@@ -147,7 +151,7 @@
     def test_or_when_its_entry_stands_longer_than_that_of_a_dead_one(self):
         self.write(1, 82, 1.0, endpoints={"i2": None})
         self.restore(build_record("i1"), build_record("i2"))
-        self.directory.expire(BACK + COPY_WORD_SECONDS)
+        self.directory.apply_due_updates(BACK + REVIVED_ENDPOINT_SECONDS)
         self.assertEqual(self.list_working(), ["i1", "i2"])
 
     def test_another_life_of_one_that_ended_is_believed_at_once(self):
@@ -166,7 +170,7 @@
         self.restore(build_record("i1"), build_record("i2"))
         self.assertEqual(self.list_working(), ["i1"])
         self.write(2, 66, 21.0, endpoints={"i2": leaving})
-        self.directory.expire(BACK + COPY_WORD_SECONDS)
+        self.directory.apply_due_updates(BACK + REVIVED_ENDPOINT_SECONDS)
         self.assertEqual(self.list_working(), ["i1"])
 
     def test_an_address_that_another_has_since(self):
@@ -181,17 +185,19 @@
         self.write(2, 66, 24.0, endpoints={"i2": None})
         self.restore(build_record("i2"), era=3, now=30.0)
         self.assertEqual(self.list_working(), ["i1"])
-        self.directory.expire(30.0 + RETURN_SECONDS)
+        self.directory.apply_due_updates(30.0 + MISSING_ENDPOINT_SECONDS)
         self.assertEqual(self.list_working(), [])
 
     def test_what_a_relay_tells_leads_followers_along(self):
         follower = Directory()
-        follower.adopt(self.directory.build_snapshot(), 0.0)
+        follower.apply_snapshot(self.directory.build_snapshot(), 0.0)
         self.write(1, 82, 1.0, endpoints={"i2": None})
-        follower.apply(Changes(Position(1, 82), endpoints={"i2": None}), 1.0)
+        follower.apply_changes(Changes(Position(1, 82), endpoints={"i2": None}), 1.0)
         before = self.directory.build_snapshot()
         self.restore(build_record("i1"), build_record("i2"), nodes=NODES)
-        follower.apply(find_changes(before, self.directory.build_snapshot()), BACK)
+        follower.apply_changes(
+            find_changes(before, self.directory.build_snapshot()), BACK
+        )
         self.assertEqual(follower.position, Position(2, 65))
         self.assertEqual(list(follower.endpoints), ["i1"])
 
@@ -202,15 +208,15 @@
         self.restore()
         self.assertEqual(self.directory.evacuated, {"a": 82})
         self.write(2, 66, 21.0, evacuated={"a": 66})
-        self.directory.expire(BACK + EVACUATION_SECONDS)
+        self.directory.apply_due_updates(BACK + EVACUATION_DEFERRAL_SECONDS)
         self.assertEqual(self.directory.evacuated, {"a": 66})
 
     def test_but_not_for_ever(self):
         self.write(1, 82, 1.0, evacuated={"a": 82})
         self.restore()
-        self.adopt(2, 66, BACK + 1.0)
+        self.apply_snapshot(2, 66, BACK + 1.0)
         self.assertEqual(self.directory.evacuated, {"a": 82})
-        self.directory.expire(BACK + EVACUATION_SECONDS)
+        self.directory.apply_due_updates(BACK + EVACUATION_DEFERRAL_SECONDS)
         self.assertEqual(self.directory.evacuated, {})
 
     def test_one_taken_back_since_does_not_begin_again(self):
@@ -218,7 +224,7 @@
         self.write(1, 83, 2.0, evacuated={"a": None})
         self.restore(evacuated={"a": 60})
         self.assertEqual(self.directory.evacuated, {})
-        self.adopt(2, 66, BACK + 1.0, evacuated={"a": 60})
+        self.apply_snapshot(2, 66, BACK + 1.0, evacuated={"a": 60})
         self.assertEqual(self.directory.evacuated, {})
 
     def test_one_asked_for_after_the_return_is_in_force(self):
@@ -236,35 +242,37 @@
         self.assertEqual(self.directory.unlisted, ("n1", "n2"))
         self.write(2, 66, 21.0, nodes={"n1": NODES["n1"]})
         self.assertEqual(self.directory.unlisted, ("n2",))
-        self.directory.expire(BACK + NODE_RETURN_SECONDS)
+        self.directory.apply_due_updates(BACK + MISSING_NODE_SECONDS)
         self.assertEqual(list(self.directory.nodes), ["n1"])
 
     def test_followers_know_whose_entries_are_missing(self):
         follower = Directory()
-        follower.adopt(self.directory.build_snapshot(), 0.0)
+        follower.apply_snapshot(self.directory.build_snapshot(), 0.0)
         before = self.directory.build_snapshot()
         self.restore()
         told = self.directory.build_snapshot()
-        follower.apply(find_changes(before, told), BACK)
+        follower.apply_changes(find_changes(before, told), BACK)
         self.assertEqual(follower.unlisted, ("n1", "n2"))
         generation = self.directory.generation
         self.write(2, 66, 21.0, nodes={"n1": NODES["n1"]})
         self.assertGreater(self.directory.generation, generation)
-        follower.apply(find_changes(told, self.directory.build_snapshot()), 21.0)
+        follower.apply_changes(
+            find_changes(told, self.directory.build_snapshot()), 21.0
+        )
         self.assertEqual(follower.unlisted, ("n2",))
 
     def test_in_one_era_a_node_that_is_missing_is_gone(self):
-        self.adopt(1, 82, 1.0, nodes={"n1": NODES["n1"]})
+        self.apply_snapshot(1, 82, 1.0, nodes={"n1": NODES["n1"]})
         self.assertEqual(list(self.directory.nodes), ["n1"])
 
 
 class CostTests(RestoreCase):
     def test_what_ended_is_remembered_for_a_minute(self):
-        beliefs = RecordTable()
+        table = RecordTable()
         for number in range(200):
-            beliefs.tell(f"i{number}", build_record("i"), None, number)
-            beliefs.tell(f"i{number}", None, None, number)
-        self.assertEqual(len(beliefs.ended), 61)
+            table.update(f"i{number}", build_record("i"), None, number)
+            table.update(f"i{number}", None, None, number)
+        self.assertEqual(len(table.removed), 61)
 
     def test_a_read_that_repeats_what_is_known_changes_little(self):
         """The era is told on; no record is replaced."""
--- a/packages/hingesill-node/hingesill_node/discovery/codec.py
+++ b/packages/hingesill-node/hingesill_node/discovery/codec.py
@@ -11,16 +11,16 @@
 __all__ = ["decode_changes", "decode_profile", "decode_snapshot", "encode"]
 
 # Of zlib: what goes to many nodes is encoded once, and links may be narrow.
-COMPRESSION = 6
+COMPRESSION_LEVEL = 6
 
-SNAPSHOTS = Decoder(Snapshot)
-CHANGES = Decoder(Changes)
-PROFILES = Decoder(Profile)
+SNAPSHOT_DECODER = Decoder(Snapshot)
+CHANGES_DECODER = Decoder(Changes)
+PROFILE_DECODER = Decoder(Profile)
 
 
 def encode(content):
     """Return a Snapshot, Changes or Profile as compressed JSON."""
-    return zlib.compress(encode_json(content), COMPRESSION)
+    return zlib.compress(encode_json(content), COMPRESSION_LEVEL)
 
 
 def decode_snapshot(encoded):
@@ -31,17 +31,17 @@
     ValueError
         If they hold none.
     """
-    return decode(encoded, SNAPSHOTS)
+    return decode(encoded, SNAPSHOT_DECODER)
 
 
 def decode_changes(encoded):
     """Return the Changes that bytes hold; ValueError if they hold none."""
-    return decode(encoded, CHANGES)
+    return decode(encoded, CHANGES_DECODER)
 
 
 def decode_profile(encoded):
     """Return the Profile that bytes hold; ValueError if they hold none."""
-    return decode(encoded, PROFILES)
+    return decode(encoded, PROFILE_DECODER)
 
 
 def decode(encoded, decoder):
--- a/packages/hingesill-node/hingesill_node/discovery/control.py
+++ b/packages/hingesill-node/hingesill_node/discovery/control.py
@@ -33,13 +33,13 @@
 
 # Factor of the known nodes by which connections are shared out, as nodes may start
 # before others know of them.
-ROOM_FOR_NODES = 2
-SILENT_SECONDS = 3.0
+NODE_HEADROOM_FACTOR = 2
+MAX_SILENCE_SECONDS = 3.0
 # A node that enters itself asks for a lease and writes its entry under that.
-ENTERING_WRITES = 2
+REGISTRATION_WRITES = 2
 # Of the store's writes while all nodes enter again; the endpoints and the operator
 # write at that time too.
-ENTERING_SHARE = 0.6
+REGISTRATION_WRITE_SHARE = 0.6
 
 
 class NoAnnouncements:
@@ -95,19 +95,19 @@
         self.registration = Registration(
             source,
             entry,
-            self._lists,
+            self._is_listed,
             lambda: self.follower.is_store_available,
             lambda: self.follower.directory.position.era,
-            self._get_entering_seconds,
+            self._get_registration_spread_seconds,
             self.clock,
         )
         self.profiles = None
-        self.holds = None
+        self.quarantine_store = None
         self.fleet_size = FleetSize()
         self._declared = None
         self._routes = RouteTable(())
         self._evacuated = {}
-        self._held = {}
+        self._quarantined = {}
 
     def start(self, runners):
         """See `node.Control`."""
@@ -120,7 +120,7 @@
             follower.directory,
             follower.feed,
             runners.merge_report,
-            lambda: follower.is_sure,
+            lambda: follower.is_confirmed,
         )
         start_server(listener, application)
         self.follower.start()
@@ -129,26 +129,26 @@
             follower.source,
             follower.directory,
             runners,
-            follower.is_watching_for_others,
+            follower.is_active_relay,
             self.clock,
         )
         eventlet.spawn(self.profiles.run)
         eventlet.spawn(Reporter(follower.find_relay, runners, self.clock).run)
-        self._start_guard(runners.guard)
+        self._start_quarantine_store(runners.guard)
         return self._start_datagrams(runners)
 
-    def _start_guard(self, guard):
+    def _start_quarantine_store(self, guard):
         """Keep in the store which requests are held back."""
         follower = self.follower
-        self.holds = QuarantineStore(
+        self.quarantine_store = QuarantineStore(
             follower.source,
             follower.directory,
             guard,
-            follower.is_watching_for_others,
+            follower.is_active_relay,
             lambda: follower.is_store_available,
         )
-        self.holds.take(follower.directory.held)
-        eventlet.spawn(self.holds.run)
+        self.quarantine_store.take(follower.directory.held)
+        eventlet.spawn(self.quarantine_store.run)
 
     def _start_datagrams(self, runners):
         """Let nodes tell each other what they need not agree on; see `start`."""
@@ -177,9 +177,12 @@
         profile = directory.profile
         if profile is not None and profile is not self.blackboard.profile:
             self.blackboard.write("profile", profile)
-        if directory.held is not self._held and self.holds is not None:
-            self._held = directory.held
-            self.holds.take(directory.held)
+        if (
+            directory.held is not self._quarantined
+            and self.quarantine_store is not None
+        ):
+            self._quarantined = directory.held
+            self.quarantine_store.take(directory.held)
         self._log_evacuations(directory)
         if directory.declared is None:
             return
@@ -216,26 +219,28 @@
                 position=str(directory.position),
             )
 
-    def _lists(self, node):
+    def _is_listed(self, node):
         """Tell whether the store lists a node's entry, as far as is known."""
         directory = self.follower.directory
         is_held = directory.nodes.get(node.name) == node
         return is_held and node.name not in directory.unlisted
 
-    def _get_entering_seconds(self):
+    def _get_registration_spread_seconds(self):
         """Return the seconds over which nodes enter themselves after a restore."""
-        writes = ENTERING_WRITES * len(self.follower.directory.nodes)
-        return writes / (ENTERING_SHARE * self.settings.store_writes_per_second)
+        writes = REGISTRATION_WRITES * len(self.follower.directory.nodes)
+        return writes / (
+            REGISTRATION_WRITE_SHARE * self.settings.store_writes_per_second
+        )
 
     def _build_fleet(self, directory):
-        nodes = self.fleet_size.note(len(directory.nodes), self.clock())
-        limit = ROOM_FOR_NODES * nodes
+        nodes = self.fleet_size.record(len(directory.nodes), self.clock())
+        limit = NODE_HEADROOM_FACTOR * nodes
         # Looked for only where it decides who saves a token up: a view that changes
         # with each node that comes makes all services be configured anew.
-        place = 0
+        node_index = 0
         if nodes > self.settings.extra_sends:
-            place = find_node_index(directory.nodes, self.follower.choice.own.name)
-        return FleetView(self.settings.data_centre, nodes, limit, place)
+            node_index = find_node_index(directory.nodes, self.follower.choice.own.name)
+        return FleetView(self.settings.data_centre, nodes, limit, node_index)
 
     def is_initialized(self):
         """See `node.Control`."""
@@ -243,11 +248,11 @@
 
     def is_connected(self):
         """See `node.Control`."""
-        return self.follower.get_silence() < SILENT_SECONDS
+        return self.follower.get_contact_age() < MAX_SILENCE_SECONDS
 
     def get_confirmed_age(self):
         """See `node.Control`."""
-        return self.follower.get_silence()
+        return self.follower.get_contact_age()
 
     def count_invalid(self):
         """See `node.Control`."""
@@ -258,15 +263,15 @@
         if settings.directory == self.settings.directory:
             return []
         self.settings = settings
-        self.follower.move(open_source(settings.directory))
+        self.follower.replace_source(open_source(settings.directory))
         self.registration.source = self.follower.source
         self.profiles.source = self.follower.source
-        self.holds.source = self.follower.source
+        self.quarantine_store.source = self.follower.source
         return ["directory"]
 
     def leave(self):
         """See `node.Control`."""
-        self.follower.leave()
+        self.follower.stop_relaying()
 
     def stop(self):
         """Green threads end with the process."""
--- a/packages/hingesill-node/hingesill_node/discovery/feed.py
+++ b/packages/hingesill-node/hingesill_node/discovery/feed.py
@@ -12,10 +12,10 @@
 __all__ = ["Feed", "Subscription"]
 
 # Frames that a follower may lag behind: half a minute of heartbeats.
-MOST_WAITING = 64
+MAX_QUEUED_FRAMES = 64
 # Streams that one relay serves, as a guard of its memory; four times what a
 # relay gets by the choice of relays.
-MOST_FOLLOWERS = 320
+MAX_FOLLOWERS = 320
 
 
 class Subscription:
@@ -31,7 +31,7 @@
 
     def __init__(self, feed, first):
         self._feed = feed
-        self._queue = LightQueue(MOST_WAITING)
+        self._queue = LightQueue(MAX_QUEUED_FRAMES)
         self._queue.put_nowait(first)
         self._ended = False
 
@@ -56,7 +56,7 @@
     def close(self):
         """End the answer; the server calls it too."""
         self._ended = True
-        self._feed.leave(self)
+        self._feed.remove(self)
 
 
 class Feed:
@@ -77,7 +77,7 @@
         self._ended = False
         # A dict, so that all are told in the order in which they came.
         self._followers = {}
-        self._told = None
+        self._last_published = None
 
     @property
     def followers(self):
@@ -100,36 +100,36 @@
             follower.put(None)
         self._followers.clear()
 
-    def end(self, reason):
+    def shut_down(self, reason):
         """Close for good."""
         self._ended = True
         self.close(reason)
 
     def subscribe(self):
         """Return the Subscription of a new follower, or None if it is not taken."""
-        if not self.is_open or self.followers >= MOST_FOLLOWERS:
+        if not self.is_open or self.followers >= MAX_FOLLOWERS:
             return None
         snapshot = self.directory.build_snapshot()
         if not self._followers:
-            self._told = snapshot
+            self._last_published = snapshot
         subscription = Subscription(self, self._build(FrameKind.WHOLE, snapshot))
         self._followers[subscription] = None
         return subscription
 
-    def leave(self, subscription):
+    def remove(self, subscription):
         """Forget a follower."""
         self._followers.pop(subscription, None)
 
-    def tell(self):
+    def publish(self):
         """Tell all followers what has changed."""
         if not self._followers:
             return
         snapshot = self.directory.build_snapshot()
-        changes = find_changes(self._told, snapshot)
-        self._told = snapshot
+        changes = find_changes(self._last_published, snapshot)
+        self._last_published = snapshot
         self._send(self._build(FrameKind.CHANGES, changes))
 
-    def beat(self):
+    def send_heartbeat(self):
         """Tell all followers that nothing else has changed."""
         if self._followers:
             self._send(self._build(FrameKind.HEARTBEAT))
--- a/packages/hingesill-node/hingesill_node/discovery/follower.py
+++ b/packages/hingesill-node/hingesill_node/discovery/follower.py
@@ -1,8 +1,8 @@
-"""Following the store: by a watch, by a relay's stream, or by asking other nodes.
+"""Follows the store by a watch, a relay's stream, or queries to other nodes.
 
-Each change of the store wakes all who watch it, and each call has its price. So a
-few nodes of each data centre, the relays, watch for all others. A follower that
-loses its relay turns to another one, and to the store if there is none.
+Each change of the store ends the watch of every client, and each call has a cost. So a
+few nodes of each data centre, the relays, watch the store for all others. A follower
+that loses its relay switches to another one, or to the store if there is none.
 """
 
 import random
@@ -26,49 +26,51 @@
 # Time after a full read in which watches are short, and their length, in seconds: the
 # store may have dropped its history meanwhile, so that such a watch stays silent, and a
 # stale check does not find what it missed.
-FRESH_SECONDS = 3.0
-FRESH_WATCH_SECONDS = 0.5
+SHORT_WATCH_PERIOD_SECONDS = 3.0
+SHORT_WATCH_SECONDS = 0.5
 # Interval at which a node without a relay looks for one, in seconds.
-LOOK_SECONDS = 3.0
-# Changes come in series; one call then brings several. A fifth of the time
-# within which a change has to be in force.
-SERIES_SECONDS = 0.4
-# A watch on a path that was cut says nothing, so a cheap call tells of cuts.
-CHECK_SECONDS = 1.0
-# Time after which a silent watch is checked against the store, in seconds.
-DEAF_SECONDS = 0.5
-# A relay's checks are also its heartbeats.
-RELAY_CHECK_SECONDS = 0.4
+RELAY_SEARCH_SECONDS = 3.0
+# Pause after a change, so that the next call returns several changes of a series. A
+# fifth of the time within which a change must be in force.
+CHANGE_BATCH_SECONDS = 0.4
+# Interval of a cheap call that detects a broken connection; a watch would not.
+CHECK_INTERVAL_SECONDS = 1.0
+# Minimum age of a watch before a later position of the store shows that the watch is
+# broken, in seconds.
+SILENT_WATCH_SECONDS = 0.5
+# A relay's checks are also its heartbeats to followers.
+RELAY_CHECK_INTERVAL_SECONDS = 0.4
 # Silence of a relay after which a node reads the store itself, in seconds.
-PATIENCE_SECONDS = 1.4
-# The same where relays report that they lost the store: they get a further delay
-# (`storepauses.RELAYS_SOON_SECONDS`).
-PATIENCE_WITH_LIVING_SECONDS = 1.0
-RELAY_PAUSE = 0.05
-# After a fault of this module's own.
-FAULT_PAUSE = 0.5
-# Between two tries of relays that have lost the store as well.
-OUTAGE_PAUSE = 0.6
-# A node that starts reads until its own entry and those of others are there.
-START_SECONDS = 1.5
-START_PAUSE = 0.4
-# Interval at which other nodes are queried while the store does not answer, in seconds.
-PEER_SECONDS = 0.3
+MAX_SILENCE_SECONDS = 1.4
+# The same if a running relay reported that it lost the store; a further delay follows
+# (`storebackoff.SHORT_RELAY_HEAD_START_SECONDS`).
+MAX_SILENCE_WITH_LIVE_RELAYS_SECONDS = 1.0
+RELAY_PAUSE_SECONDS = 0.05
+# Pause after an unexpected exception.
+FAULT_PAUSE_SECONDS = 0.5
+# Mean pause between attempts to follow relays while the store is unavailable.
+OUTAGE_PAUSE_SECONDS = 0.6
+# A starting node repeats its first read until its own entry is listed, at most for this
+# time.
+MAX_BOOTSTRAP_SECONDS = 1.5
+BOOTSTRAP_PAUSE_SECONDS = 0.4
+# Interval at which other nodes are queried while the store is unavailable, in seconds.
+PEER_QUERY_SECONDS = 0.3
 
 
 class Follower:
-    """Follows the store, or a relay that does.
+    """Keeps a directory in sync with the store, directly or through a relay.
 
     Parameters
     ----------
     source : DirectorySource
         The store.
     peers : PeerClient
-        Asked while neither the store nor a relay answers.
+        Queries other nodes while neither the store nor a relay is available.
     publish : callable
         Called with the directory after each change.
     choice : RelayChoice or None
-        Whom to follow; None to watch the store always.
+        Selects the relay to follow; None to always watch the store.
     relays : RelayClient or None
         Reads a relay's stream.
     clock : callable
@@ -78,8 +80,8 @@
 
     Attributes
     ----------
-    held : PublishedDirectory
-        What this node holds.
+    published_directory : PublishedDirectory
+        The node's directory.
     """
 
     def __init__(
@@ -97,116 +99,123 @@
         self.choice = choice
         self.relays = relays
         self.clock = clock
-        self.held = PublishedDirectory(publish, clock, counters)
-        self.directory = self.held.directory
-        self.feed = self.held.feed
+        self.published_directory = PublishedDirectory(publish, clock, counters)
+        self.directory = self.published_directory.directory
+        self.feed = self.published_directory.feed
         self.watch = StoreWatch(clock)
         self.is_store_available = True
         self.is_synced = False
-        self.follows = ""
-        self.heard_at = clock()
+        self.followed_relay = ""
+        self.last_contact_at = clock()
         self._started_at = clock()
-        self._has_begun = choice is None
-        # What a read tells may be seconds old, or a copy that lacks what was accepted:
-        # another node has been asked, or a relay has told of it.
-        self.is_sure = choice is None
-        self.pauses = StoreBackoff()
-        # The relay that was lost last has said so itself.
-        self._relays_live = False
-        self._read_at = float("-inf")
-        self._look_from = float("-inf")
+        self._is_bootstrapped = choice is None
+        # Set once another node was queried or a relay has sent its snapshot: a first
+        # read may be seconds old, or from a copy that lacks an accepted declaration.
+        self.is_confirmed = choice is None
+        self.store_backoff = StoreBackoff()
+        # Whether the relay that was lost last ended or refused the stream itself.
+        self._are_relays_alive = False
+        self._last_read_at = float("-inf")
+        self._relay_search_at = float("-inf")
 
     def start(self):
-        """Begin to follow, in green threads."""
+        """Start to follow the store in green threads."""
         eventlet.spawn(self._follow)
-        eventlet.spawn(self._check_often)
-        eventlet.spawn(self._ask_peers_often)
+        eventlet.spawn(self._check_periodically)
+        eventlet.spawn(self._query_peers_periodically)
 
-    def move(self, source):
-        """Follow another address of the store from now on."""
+    def replace_source(self, source):
+        """Switch to another address of the store."""
         self.source = source
         self._interrupt()
 
-    def leave(self):
-        """Serve no other node any more: a planned stop has begun."""
-        self.feed.end("the node stops")
+    def stop_relaying(self):
+        """Stop serving followers, as a planned shutdown has begun."""
+        self.feed.shut_down("the node stops")
 
     def is_initialized(self):
-        """Tell whether requests can be served by what is known."""
+        """Return whether the directory suffices to serve requests."""
         directory = self.directory
         is_known = directory.declared is not None and bool(directory.endpoints)
-        return is_known and self.is_sure
+        return is_known and self.is_confirmed
 
     def find_relay(self):
         """Return the NodeRecord of the relay that is followed, or None."""
-        return self.directory.nodes.get(self.follows) if self.follows else None
-
-    def is_watching_for_others(self):
-        """Tell whether this node is a relay that follows the store now."""
+        return (
+            self.directory.nodes.get(self.followed_relay)
+            if self.followed_relay
+            else None
+        )
+
+    def is_active_relay(self):
+        """Return whether this node is a relay that is in sync with the store."""
         return self.is_synced and self.feed.is_open
 
-    def get_silence(self):
-        """Return the seconds since the store, a relay or a peer was last heard."""
-        return self.clock() - self.heard_at
+    def get_contact_age(self):
+        """Return the seconds since the last contact with the store or another node."""
+        return self.clock() - self.last_contact_at
 
     def _follow(self):
         while True:
             try:
                 self._step()
             except Exception as error:
-                # A fault here must not leave the node with what it knows now.
+                # An unexpected exception must not stop the node from following.
                 self.is_synced = False
                 log_event(Event.FOLLOWER_FAULT, error=repr(error))
-                eventlet.sleep(FAULT_PAUSE)
+                eventlet.sleep(FAULT_PAUSE_SECONDS)
 
     def _step(self):
-        """Make a call to the store if that is due, else follow a relay."""
-        if not self._has_begun:
-            self._begin()
+        """Call the store if a call is due, else follow a relay."""
+        if not self._is_bootstrapped:
+            self._bootstrap()
             return
         relay = None if self._is_store_due() else self._choose_relay()
         if relay is not None:
             self._follow_relay(relay)
-        elif self.clock() < self.pauses.until:
-            eventlet.sleep(RELAY_PAUSE)
+        elif self.clock() < self.store_backoff.until:
+            eventlet.sleep(RELAY_PAUSE_SECONDS)
         elif self.is_synced or self._is_store_due():
             self._advance()
         else:
-            eventlet.sleep(RELAY_PAUSE)
+            eventlet.sleep(RELAY_PAUSE_SECONDS)
 
-    def _begin(self):
-        """Read, maybe stale, until it is known which nodes there are.
+    def _bootstrap(self):
+        """Read the store, possibly stale, until this node's own entry is listed.
 
         Notes
         -----
-        A read that may be stale costs a tenth. What it lacks is told by other nodes
-        before this one serves by it: nodes that start just after the store has come
-        back from an older copy would answer 404 for routes that are in force at all
-        others. The relay or the watch that follows tells the rest.
+        A read that may be stale costs a tenth of a consistent one. Other nodes supply
+        what it lacks before this node serves requests: nodes that start just after the
+        store was restored from an older copy would answer 404 for routes that are in
+        force at all others. The relay or the watch that follows supplies later changes.
         """
-        if self.clock() < self.pauses.until:
-            eventlet.sleep(RELAY_PAUSE)
+        if self.clock() < self.store_backoff.until:
+            eventlet.sleep(RELAY_PAUSE_SECONDS)
             return
         answer = self.source.read(may_be_stale=True)
         if isinstance(answer, StoreFailure):
-            self._note_lost(answer)
+            self._record_outage(answer)
             self._pause()
             return
-        self.heard_at = self.clock()
-        for snapshot in self._ask_before_start(answer):
-            self.directory.learn(snapshot, self.clock())
-        self.held.publish_changes()
+        self.last_contact_at = self.clock()
+        for snapshot in self._fetch_newer_at_start(answer):
+            self.directory.merge_snapshot(snapshot, self.clock())
+        self.published_directory.publish_changes()
         waited = self.clock() - self._started_at
-        if self.choice.own.name in self.directory.nodes or waited > START_SECONDS:
-            self._has_begun = True
+        if (
+            self.choice.own.name in self.directory.nodes
+            or waited > MAX_BOOTSTRAP_SECONDS
+        ):
+            self._is_bootstrapped = True
         else:
-            eventlet.sleep(START_PAUSE * random.uniform(0.8, 1.2))
+            eventlet.sleep(BOOTSTRAP_PAUSE_SECONDS * random.uniform(0.8, 1.2))
 
-    def _ask_before_start(self, read):
-        """Return what was read with what other nodes hold, the earliest first."""
-        told = self.peers.ask_before_start(read)
-        self.is_sure = True
-        return sorted([read, *told], key=lambda snapshot: snapshot.position)
+    def _fetch_newer_at_start(self, read):
+        """Return the read snapshot and those of other nodes, ordered by position."""
+        newer = self.peers.fetch_newer_at_start(read)
+        self.is_confirmed = True
+        return sorted([read, *newer], key=lambda snapshot: snapshot.position)
 
     def _choose_relay(self):
         if self.choice is None:
@@ -214,94 +223,98 @@
         return self.choice.choose(self.directory.nodes, self.clock())
 
     def _is_relay(self):
-        """Tell whether this node watches the store for others, or for itself alone."""
+        """Return whether this node is a relay, or follows no relays."""
         return self.choice is None or self.choice.is_relay(self.directory.nodes)
 
     def _is_store_due(self):
-        """Tell whether the store is asked now, whatever relays there are.
+        """Return whether to call the store now, even if relays can be tried.
 
         Notes
         -----
-        Relays that have lost the store take nobody, and the store may be back for
-        all but them: so it gets its turn, however many relays could be tried.
+        Relays that have lost the store refuse followers, and the store may be available
+        again for all nodes but them. So the store is called too, however many relays
+        could be tried.
         """
         now = self.clock()
-        if now < self.pauses.until:
+        if now < self.store_backoff.until:
             return False
         if self._is_relay():
             return True
         if self.is_synced:
-            return now < self._look_from
-        patience = PATIENCE_SECONDS
-        if self._relays_live:
-            patience = PATIENCE_WITH_LIVING_SECONDS
-        return self.pauses.has_unread_return or self.get_silence() >= patience
+            return now < self._relay_search_at
+        patience = MAX_SILENCE_SECONDS
+        if self._are_relays_alive:
+            patience = MAX_SILENCE_WITH_LIVE_RELAYS_SECONDS
+        return self.store_backoff.is_read_pending or self.get_contact_age() >= patience
 
     def _follow_relay(self, relay):
-        """Take a relay's word until it fails or this node is a relay itself.
+        """Apply a relay's frames until it fails or this node becomes a relay.
 
         Notes
         -----
-        What is known from the store stays in force until the relay has told more,
-        so that a relay which takes nobody does not end the watch. The changes of a
-        relay that was behind lead on from what it held: what came and went meanwhile
-        is not among them, so that an evacuation which was taken back would stay in
-        force. Once it has caught up, all that it holds is asked for again.
+        The directory stays in sync with the store until the relay sends its snapshot,
+        so that a relay which refuses followers does not end the watch. The changes of a
+        relay that was behind start at its own position. They lack records that were
+        added and removed before it caught up, so that an evacuation which was withdrawn
+        would stay in force. Once the relay has caught up, its snapshot is requested
+        again.
         """
-        behind_until = None
+        catch_up_position = None
         try:
             for frame in self.relays.follow(relay):
                 if frame.kind is FrameKind.WHOLE:
-                    behind_until = self._find_gap(frame.content)
-                self._take_frame(relay, frame)
+                    catch_up_position = self._find_catch_up_position(frame.content)
+                self._handle_frame(relay, frame)
                 if self._is_relay():
                     return
-                if has_caught_up(frame, behind_until):
+                if has_caught_up(frame, catch_up_position):
                     log_event(Event.RELAY_CAUGHT_UP, relay=relay.name)
                     return
         except RelayLost as error:
             self.choice.record_failure(relay, self.clock())
-            self._relays_live = error.lives
-            self._look_from = self.clock() + LOOK_SECONDS
-            if self.follows:
+            self._are_relays_alive = error.is_alive
+            self._relay_search_at = self.clock() + RELAY_SEARCH_SECONDS
+            if self.followed_relay:
                 log_event(Event.RELAY_LOST, relay=relay.name, detail=str(error))
             elif not self.is_synced and not self.is_store_available:
-                eventlet.sleep(OUTAGE_PAUSE * random.uniform(0.5, 1.5))
+                eventlet.sleep(OUTAGE_PAUSE_SECONDS * random.uniform(0.5, 1.5))
         finally:
-            self.follows = ""
+            self.followed_relay = ""
 
-    def _find_gap(self, snapshot):
-        """Return the Position that a relay which is behind has to reach, or None."""
+    def _find_catch_up_position(self, snapshot):
+        """Return the Position that a relay that is behind must reach, or None."""
         held = self.directory.position
         return held if snapshot.position < held else None
 
-    def _take_frame(self, relay, frame):
+    def _handle_frame(self, relay, frame):
         now = self.clock()
-        self.heard_at = now
+        self.last_contact_at = now
         if frame.return_age is not None:
             self.directory.record_return(now - frame.return_age)
         if frame.kind is FrameKind.WHOLE:
-            self._begin_stream(relay, frame.content)
+            self._start_stream(relay, frame.content)
         elif frame.kind is FrameKind.CHANGES:
-            self.held.take(self.directory.apply, frame.content)
-        self.held.publish_changes()
-
-    def _begin_stream(self, relay, snapshot):
-        held, told = self.directory.position, snapshot.position
-        log_event(Event.RELAY_FOUND, relay=relay.name, held=str(held), told=str(told))
+            self.published_directory.apply(self.directory.apply_changes, frame.content)
+        self.published_directory.publish_changes()
+
+    def _start_stream(self, relay, snapshot):
+        held, received = self.directory.position, snapshot.position
+        log_event(
+            Event.RELAY_FOUND, relay=relay.name, held=str(held), told=str(received)
+        )
         self.is_synced = False
         self.feed.close("the node follows a relay")
-        self.follows = relay.name
+        self.followed_relay = relay.name
         self.choice.record_success(relay)
         self.is_store_available = True
-        self.pauses.record_update()
-        self.is_sure = True
-        # One that is behind is no fault: it is asked again once it has caught up.
-        if not self.held.take(self.directory.adopt, snapshot):
-            self.directory.learn(snapshot, self.clock())
+        self.store_backoff.record_update()
+        self.is_confirmed = True
+        # A relay may be behind: its snapshot is requested again once it has caught up.
+        if not self.published_directory.apply(self.directory.apply_snapshot, snapshot):
+            self.directory.merge_snapshot(snapshot, self.clock())
 
     def _advance(self):
-        """Make one call to the store and act on its answer."""
+        """Make one call to the store and handle its answer."""
         if not self.is_synced and not self._may_read():
             return
         answer = self._watch() if self.is_synced else self.source.read()
@@ -313,154 +326,159 @@
         elif isinstance(answer, StoreRestored):
             self.is_synced = False
         elif isinstance(answer, StoreFailure):
-            self._note_failure(answer)
+            self._handle_failure(answer)
         elif isinstance(answer, Changes):
-            self._note_answer()
-            self.pauses.record_answer()
-            self._take_changes(answer)
+            self._record_answer()
+            self.store_backoff.record_answer()
+            self._apply_changes(answer)
         else:
-            self._note_answer()
-            self._take_snapshot(answer)
+            self._record_answer()
+            self._apply_snapshot(answer)
 
     def _may_read(self):
-        """Tell whether it is this node's turn to read the whole store now.
+        """Return whether this node may make a full read of the store now.
 
         Notes
         -----
-        A follower that finds the store back lets the relays read it: they tell all
-        others of it. The cheap call that finds it out costs a tenth of a read.
+        A follower that finds the store available again lets the relays read it first,
+        as they send the result to all others. The check that detects it costs a tenth
+        of a read.
         """
-        if self.pauses.take_turn():
+        if self.store_backoff.consume_pending_read():
             return True
         answer = self.source.check()
         if isinstance(answer, StoreFailure):
-            self._note_lost(answer)
+            self._record_outage(answer)
             self._pause()
             return False
-        self.heard_at = self.clock()
-        if self._is_relay() or (self.is_store_available and not self._relays_live):
+        self.last_contact_at = self.clock()
+        if self._is_relay() or (self.is_store_available and not self._are_relays_alive):
             return True
-        self.choice.forget_failures()
-        self.pauses.let_relays_go_first(self.clock(), not self.is_store_available)
+        self.choice.reset_failures()
+        self.store_backoff.yield_to_relays(self.clock(), not self.is_store_available)
         return False
 
     def _watch(self):
-        """Return what a watch brings, or None if this node ended it."""
-        seconds = WATCH_SECONDS if self._is_relay() else LOOK_SECONDS
-        if self.clock() - self._read_at < FRESH_SECONDS:
-            seconds = FRESH_WATCH_SECONDS
+        """Return the answer of a watch, or None if this node interrupted it."""
+        seconds = WATCH_SECONDS if self._is_relay() else RELAY_SEARCH_SECONDS
+        if self.clock() - self._last_read_at < SHORT_WATCH_PERIOD_SECONDS:
+            seconds = SHORT_WATCH_SECONDS
         answer = self.watch.wait(self.source, self.directory.position, seconds)
         was_interrupted = not self.is_synced
         return None if was_interrupted else answer
 
     def _interrupt(self):
-        """End the watch that is under way; all is read again then."""
+        """Interrupt the current watch; a full read follows."""
         self.is_synced = False
         self.watch.interrupt()
 
-    def _note_failure(self, failure):
-        """Read the whole again after a failure; a second one is an outage."""
+    def _handle_failure(self, failure):
+        """Read again after a first failure; handle a further one as an outage."""
         was_synced, self.is_synced = self.is_synced, False
         if was_synced:
             log_event(Event.WATCH_CUT, detail=failure.reason)
             return
-        self._note_lost(failure)
+        self._record_outage(failure)
         self._pause()
 
     def _pause(self):
-        """Leave the store alone for a while; relays may be tried meanwhile."""
+        """Back off from the store; relays may be tried during the pause."""
         nodes = len(self.directory.nodes)
-        self.pauses.pause(self._is_relay(), nodes, self.clock())
+        self.store_backoff.pause(self._is_relay(), nodes, self.clock())
 
-    def _note_lost(self, failure):
+    def _record_outage(self, failure):
         if self.is_store_available:
             log_event(Event.STORE_LOST, detail=failure.reason)
         self.is_store_available = False
         self.feed.close("the store does not answer")
 
-    def _note_answer(self):
+    def _record_answer(self):
         now = self.clock()
-        self.heard_at = now
+        self.last_contact_at = now
         if not self.is_store_available:
             self.is_store_available = True
             self.directory.record_return(now)
             log_event(Event.STORE_BACK, position=str(self.directory.position))
 
-    def _take_changes(self, changes):
+    def _apply_changes(self, changes):
         if changes.position == self.directory.position:
             return
-        self.held.take(self.directory.apply, changes)
-        self.held.publish_changes()
-        eventlet.sleep(SERIES_SECONDS)
+        self.published_directory.apply(self.directory.apply_changes, changes)
+        self.published_directory.publish_changes()
+        eventlet.sleep(CHANGE_BATCH_SECONDS)
 
-    def _take_snapshot(self, snapshot):
-        if self.directory.is_restored_by(snapshot.position):
-            # It may have been away too briefly for any call to fail.
+    def _apply_snapshot(self, snapshot):
+        if self.directory.is_from_later_era(snapshot.position):
+            # The outage may have been too short for any call to fail.
             self.directory.record_return(self.clock())
-        if not self.held.take(self.directory.adopt, snapshot):
+        if not self.published_directory.apply(self.directory.apply_snapshot, snapshot):
             held, read = self.directory.position, snapshot.position
             log_event(Event.STORE_BEHIND, held=str(held), read=str(read))
             self._pause()
             return
-        self.pauses.record_answer()
+        self.store_backoff.record_answer()
         self.is_synced = True
-        self._read_at = self.clock()
-        self.held.publish_changes()
+        self._last_read_at = self.clock()
+        self.published_directory.publish_changes()
         if self._is_relay():
             self.feed.open()
 
-    def _check_often(self):
-        """Find out within a second or two that the store is out of reach."""
+    def _check_periodically(self):
+        """Detect within a second or two that the store is unreachable."""
         while True:
-            pause = RELAY_CHECK_SECONDS if self.feed.is_open else CHECK_SECONDS
+            pause = (
+                RELAY_CHECK_INTERVAL_SECONDS
+                if self.feed.is_open
+                else CHECK_INTERVAL_SECONDS
+            )
             eventlet.sleep(pause * random.uniform(0.8, 1.2))
             if self.is_synced:
                 self._check(self.source.check())
 
     def _check(self, answer):
-        """Take a failure as an outage, and a later position as a deaf watch.
+        """Handle a failure as an outage, and a later position as a broken watch.
 
         Notes
         -----
-        A watch may not be told that the store came back from an older copy: it waits
-        for what comes after a revision that is given out again. An answer of an earlier
-        era is a stale one, and no news.
+        A watch may not be notified that the store was restored from an older copy: it
+        waits for changes after a revision that the store assigns again. An answer of an
+        earlier era is stale and changes nothing.
         """
         if not self.is_synced:
             return
         if isinstance(answer, StoreFailure):
-            self._note_lost(answer)
+            self._record_outage(answer)
             self._interrupt()
             return
-        self.heard_at = self.clock()
+        self.last_contact_at = self.clock()
         held = self.directory.position
-        is_restored = self.directory.is_restored_by(answer)
-        is_deaf = answer > held and self.watch.has_waited(DEAF_SECONDS)
-        if is_restored or is_deaf:
+        is_restored = self.directory.is_from_later_era(answer)
+        is_broken = answer > held and self.watch.has_waited(SILENT_WATCH_SECONDS)
+        if is_restored or is_broken:
             log_event(Event.WATCH_DEAF, held=str(held), told=str(answer))
             self._interrupt()
             return
-        self.feed.beat()
+        self.feed.send_heartbeat()
 
-    def _ask_peers_often(self):
+    def _query_peers_periodically(self):
         while True:
-            eventlet.sleep(PEER_SECONDS * random.uniform(0.8, 1.2))
+            eventlet.sleep(PEER_QUERY_SECONDS * random.uniform(0.8, 1.2))
             if not self.is_store_available:
-                self._ask_peer()
+                self._query_peer()
 
-    def _ask_peer(self):
-        """Take what another node holds if it leads further."""
-        snapshot = self.peers.ask(self.directory)
+    def _query_peer(self):
+        """Merge another node's snapshot if it is newer."""
+        snapshot = self.peers.fetch_newer(self.directory)
         if snapshot is None:
             return
-        self.heard_at = self.clock()
-        if self.held.take(self.directory.learn, snapshot):
+        self.last_contact_at = self.clock()
+        if self.published_directory.apply(self.directory.merge_snapshot, snapshot):
             log_event(Event.LEARNT_FROM_PEER, position=str(snapshot.position))
-            self.held.publish_changes()
+            self.published_directory.publish_changes()
 
 
-def has_caught_up(frame, behind_until):
-    """Tell whether changes lead a relay that was behind to what its follower holds."""
+def has_caught_up(frame, catch_up_position):
+    """Return whether a relay that was behind has reached its follower's position."""
     if frame.kind is not FrameKind.CHANGES:
         return False
-    return behind_until is not None and behind_until <= frame.content.position
+    return catch_up_position is not None and catch_up_position <= frame.content.position
--- a/packages/hingesill-node/hingesill_node/discovery/frames.py
+++ b/packages/hingesill-node/hingesill_node/discovery/frames.py
@@ -11,8 +11,8 @@
 
 # Kind, seconds since the store's last return (negative if none), payload's length.
 HEAD = struct.Struct("!BdI")
-NEVER = -1.0
-LARGEST_PAYLOAD = 16 * 1024 * 1024
+NO_RETURN = -1.0
+MAX_PAYLOAD_BYTES = 16 * 1024 * 1024
 
 
 class FrameKind(IntEnum):
@@ -56,7 +56,7 @@
     payload : bytes
         The encoded content; none with a heartbeat.
     """
-    age = NEVER if return_age is None else return_age
+    age = NO_RETURN if return_age is None else return_age
     return HEAD.pack(kind, age, len(payload)) + payload
 
 
@@ -77,7 +77,7 @@
         self._buffer += data
         while len(self._buffer) >= HEAD.size:
             kind, age, length = HEAD.unpack_from(self._buffer)
-            if length > LARGEST_PAYLOAD:
+            if length > MAX_PAYLOAD_BYTES:
                 raise ValueError(f"a frame of {length} bytes")
             end = HEAD.size + length
             if len(self._buffer) < end:
--- a/packages/hingesill-node/hingesill_node/discovery/peers.py
+++ b/packages/hingesill-node/hingesill_node/discovery/peers.py
@@ -15,25 +15,25 @@
 from hingesill_node.datapath.transport import TRANSPORT_ERRORS
 from hingesill_node.discovery.codec import decode_profile, decode_snapshot, encode
 from hingesill_node.discovery.relayclient import FEED_PATH
-from hingesill_node.discovery.reports import LARGEST_REPORT, NEWS_PATH
+from hingesill_node.discovery.reports import MAX_REPORT_BYTES, REPORT_PATH
 from hingesill_node.telemetry.events import Event, log_event
 
 __all__ = ["PeerApplication", "PeerClient"]
 
-PATH = "/directory"
-ANSWER_SECONDS = 0.5
-LARGEST_ANSWER = 4 * 1024 * 1024
-BINARY = [("Content-Type", "application/octet-stream")]
+DIRECTORY_PATH = "/directory"
+RESPONSE_TIMEOUT_SECONDS = 0.5
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
+BINARY_HEADERS = [("Content-Type", "application/octet-stream")]
 # Nodes that a starting node queries at a time, and rounds: most nodes may have started
 # at one moment and not be sure of what they hold.
-ASKED_TOGETHER = 4
-MOST_ROUNDS = 2
+QUERIES_PER_ROUND = 4
+MAX_QUERY_ROUNDS = 2
 # Of one round. A node that lives answers within some milliseconds; dark ones are not
 # waited for longer, since callers are.
-ROUND_SECONDS = 0.25
+ROUND_TIMEOUT_SECONDS = 0.25
 
 
-class Known(Struct, frozen=True):
+class KnownState(Struct, frozen=True):
     """How far a node knows: what it need not be told.
 
     Parameters
@@ -48,7 +48,7 @@
     version: int = 0
 
 
-class NothingMore(Struct, frozen=True):
+class UpToDate(Struct, frozen=True):
     """A node that is sure of what it holds has nothing to add."""
 
 
@@ -63,58 +63,62 @@
         Its streams to followers.
     merge_report : callable
         Takes the Profile of a follower's answers.
-    is_sure : callable
+    is_confirmed : callable
         Tells whether this node has been told by others; one that starts does not pass
         on what it has only read.
     """
 
     def __init__(
-        self, directory, feed, merge_report=lambda profile: None, is_sure=lambda: True
+        self,
+        directory,
+        feed,
+        merge_report=lambda profile: None,
+        is_confirmed=lambda: True,
     ):
         self.directory = directory
         self.feed = feed
         self.merge_report = merge_report
-        self.is_sure = is_sure
+        self.is_confirmed = is_confirmed
 
     def __call__(self, environ, start_response):
         """Answer one request; see PEP 3333."""
         if environ["PATH_INFO"] == FEED_PATH:
-            return self._follow(environ, start_response)
-        if environ["PATH_INFO"] == NEWS_PATH:
-            return self._take_news(environ, start_response)
-        if environ["PATH_INFO"] != PATH:
+            return self._open_stream(environ, start_response)
+        if environ["PATH_INFO"] == REPORT_PATH:
+            return self._receive_report(environ, start_response)
+        if environ["PATH_INFO"] != DIRECTORY_PATH:
             start_response("404 Not Found", [])
             return [b""]
-        return self._tell(environ, start_response)
+        return self._send_snapshot(environ, start_response)
 
-    def _tell(self, environ, start_response):
+    def _send_snapshot(self, environ, start_response):
         """Answer with all that is held here, if any of it is more."""
-        if not self.is_sure():
+        if not self.is_confirmed():
             start_response("503 Service Unavailable", [])
             return [b""]
-        asked, own = read_known(environ.get("QUERY_STRING", "")), find_known(
-            self.directory
-        )
+        asked, own = parse_known_state(
+            environ.get("QUERY_STRING", "")
+        ), build_known_state(self.directory)
         if own.position <= asked.position and own.version <= asked.version:
             start_response("204 No Content", [])
             return [b""]
-        start_response("200 OK", BINARY)
+        start_response("200 OK", BINARY_HEADERS)
         return [encode(self.directory.build_snapshot())]
 
-    def _follow(self, environ, start_response):
+    def _open_stream(self, environ, start_response):
         """Answer with frames that go on until the feed closes."""
         subscription = self.feed.subscribe()
         if subscription is None:
             start_response("503 Service Unavailable", [])
             return [b""]
         environ["eventlet.minimum_write_chunk_size"] = 1
-        start_response("200 OK", BINARY)
+        start_response("200 OK", BINARY_HEADERS)
         return subscription
 
-    def _take_news(self, environ, start_response):
+    def _receive_report(self, environ, start_response):
         """Take a follower's report."""
         length = environ.get("CONTENT_LENGTH") or ""
-        if not length.isdigit() or int(length) > LARGEST_REPORT:
+        if not length.isdigit() or int(length) > MAX_REPORT_BYTES:
             start_response("413 Content Too Large", [])
             return [b""]
         try:
@@ -128,18 +132,18 @@
         return [b""]
 
 
-def find_known(content):
+def build_known_state(content):
     """Return how far a Directory or a Snapshot leads."""
     declared = content.declared
-    return Known(content.position, declared.version if declared else 0)
+    return KnownState(content.position, declared.version if declared else 0)
 
 
-def read_known(query):
+def parse_known_state(query):
     """Return the Known of a query; the least if it names none."""
     values = {name: texts[0] for name, texts in parse_qs(query).items()}
     version = values.get("version", "")
     position = parse_position(values.get("after", ""))
-    return Known(position, int(version) if version.isdecimal() else 0)
+    return KnownState(position, int(version) if version.isdecimal() else 0)
 
 
 class PeerClient:
@@ -160,13 +164,17 @@
         self.data_centre = data_centre
         self.rng = rng or random.Random()
 
-    def ask(self, directory):
+    def fetch_newer(self, directory):
         """Return a node's Snapshot if it holds more, else None."""
         node = self._choose(directory.nodes)
-        answer = None if node is None else self._ask(node, find_known(directory))
-        return None if isinstance(answer, NothingMore) else answer
+        answer = (
+            None
+            if node is None
+            else self._query_node(node, build_known_state(directory))
+        )
+        return None if isinstance(answer, UpToDate) else answer
 
-    def ask_before_start(self, read):
+    def fetch_newer_at_start(self, read):
         """Return what other nodes hold beyond what a node has read as it starts.
 
         Parameters
@@ -181,22 +189,22 @@
         """
         others = [node for node in read.nodes.values() if node.name != self.name]
         self.rng.shuffle(others)
-        for begin in range(0, MOST_ROUNDS * ASKED_TOGETHER, ASKED_TOGETHER):
-            asked = others[begin : begin + ASKED_TOGETHER]
-            answer = self._ask_together(asked, find_known(read))
+        for begin in range(0, MAX_QUERY_ROUNDS * QUERIES_PER_ROUND, QUERIES_PER_ROUND):
+            asked = others[begin : begin + QUERIES_PER_ROUND]
+            answer = self._query_concurrently(asked, build_known_state(read))
             if answer is not None:
-                return [] if isinstance(answer, NothingMore) else [answer]
+                return [] if isinstance(answer, UpToDate) else [answer]
         return []
 
-    def _ask_together(self, nodes, known):
+    def _query_concurrently(self, nodes, known):
         """Return the first answer of a node that is sure, or None."""
         answers = LightQueue()
         threads = [
-            eventlet.spawn(lambda node=node: answers.put(self._ask(node, known)))
+            eventlet.spawn(lambda node=node: answers.put(self._query_node(node, known)))
             for node in nodes
         ]
         try:
-            with eventlet.Timeout(ROUND_SECONDS, Empty):
+            with eventlet.Timeout(ROUND_TIMEOUT_SECONDS, Empty):
                 for _ in nodes:
                     answer = answers.get()
                     if answer is not None:
@@ -208,8 +216,8 @@
                 thread.kill()
         return None
 
-    def _ask(self, node, known):
-        """Return a node's Snapshot, NothingMore, or None if it told nothing."""
+    def _query_node(self, node, known):
+        """Return a node's Snapshot, UpToDate, or None if it told nothing."""
         connection = EndpointConnection(node.address)
         try:
             return self._call(connection, known)
@@ -228,16 +236,16 @@
 
     def _call(self, connection, known):
         connection.open()
-        connection.set_time_limit(ANSWER_SECONDS)
+        connection.set_time_limit(RESPONSE_TIMEOUT_SECONDS)
         connection.collect()
         query = urlencode({"after": known.position, "version": known.version})
-        connection.begin("GET", f"{PATH}?{query}")
+        connection.begin("GET", f"{DIRECTORY_PATH}?{query}")
         connection.putheader("Host", connection.address)
         connection.putheader("Connection", "close")
         connection.endheaders()
         connection.flush()
         response = connection.read_head()
-        body = response.read_short(LARGEST_ANSWER)
+        body = response.read_short(MAX_RESPONSE_BYTES)
         if response.status == 204:
-            return NothingMore()
+            return UpToDate()
         return decode_snapshot(body) if response.status == 200 and body else None
--- a/packages/hingesill-node/hingesill_node/discovery/profiles.py
+++ b/packages/hingesill-node/hingesill_node/discovery/profiles.py
@@ -17,7 +17,7 @@
 REVIEW_SECONDS = 1.0
 # Between two writes of one node. Each write wakes all relays, and few are worth it once
 # the levels are known; a fleet that started with nothing needs them within a burst.
-PAUSE_SECONDS = 1.5
+MIN_WRITE_INTERVAL_SECONDS = 1.5
 
 
 class ProfileStore:
@@ -49,7 +49,7 @@
         self.runners = runners
         self.may_write = may_write
         self.clock = clock
-        self._write_from = float("-inf")
+        self._next_write_at = float("-inf")
 
     def run(self):
         """Work until the process ends."""
@@ -60,16 +60,16 @@
 
     def is_due(self):
         """Tell whether this node may write now."""
-        return self.may_write() and self.clock() >= self._write_from
+        return self.may_write() and self.clock() >= self._next_write_at
 
     def review(self):
         """Write the profile if this node has learnt enough that others don't know."""
         news = self.runners.list_unpublished()
         if not news:
             return
-        self._write_from = self.clock() + PAUSE_SECONDS
+        self._next_write_at = self.clock() + MIN_WRITE_INTERVAL_SECONDS
         learnt = self.runners.build_profiles(news)
-        answer = self.source.save(Profile({**self._list_held(), **learnt}))
+        answer = self.source.save(Profile({**self._list_stored(), **learnt}))
         if isinstance(answer, StoreFailure):
             log_event(Event.PROFILE_NOT_KEPT, detail=answer.reason)
             return
@@ -82,7 +82,7 @@
             levels={name: describe_levels(learnt[name]) for name in news},
         )
 
-    def _list_held(self):
+    def _list_stored(self):
         """Return what is kept of the services that are declared, by name."""
         declared = self.directory.declared
         names = {service.name for service in declared.services} if declared else set()
--- a/packages/hingesill-node/hingesill_node/discovery/publisheddirectory.py
+++ b/packages/hingesill-node/hingesill_node/discovery/publisheddirectory.py
@@ -38,7 +38,7 @@
         self.feed = Feed(self.directory, clock)
         self._published = 0
 
-    def take(self, take, content):
+    def apply(self, method, content):
         """Let the directory take a Snapshot or Changes; return whether it did.
 
         Parameters
@@ -49,13 +49,13 @@
             What was told.
         """
         held = self.directory.position
-        is_restored = self.directory.is_restored_by(content.position)
-        was_taken = take(content, self.clock())
+        is_restored = self.directory.is_from_later_era(content.position)
+        was_applied = method(content, self.clock())
         if is_restored:
-            self._note_restore(held, content)
-        return was_taken
+            self._record_restore(held, content)
+        return was_applied
 
-    def _note_restore(self, held, content):
+    def _record_restore(self, held, content):
         self.counters.add("store_restores", "")
         log_event(
             Event.STORE_RESTORED,
@@ -63,7 +63,7 @@
             told=str(content.position),
             version_told=get_version(content.declared),
             version_kept=get_version(self.directory.declared),
-            doubted=self.directory.count_doubts(),
+            doubted=self.directory.count_deferred(),
         )
 
     def publish_changes(self):
@@ -71,14 +71,14 @@
         if self.directory.generation != self._published:
             self._published = self.directory.generation
             self.publish(self.directory)
-            self.feed.tell()
-        expiry = self.directory.get_next_expiry()
+            self.feed.publish()
+        expiry = self.directory.get_next_due_time()
         if expiry is not None:
             delay = max(0.0, expiry - self.clock())
-            eventlet.spawn_after(delay, self._expire)
+            eventlet.spawn_after(delay, self._apply_due_updates)
 
-    def _expire(self):
-        for instance in self.directory.expire(self.clock()):
+    def _apply_due_updates(self):
+        for instance in self.directory.apply_due_updates(self.clock()):
             log_event(Event.ENDPOINT_GONE, endpoint=instance, cause="missing")
         self.publish_changes()
 
--- a/packages/hingesill-node/hingesill_node/discovery/registration.py
+++ b/packages/hingesill-node/hingesill_node/discovery/registration.py
@@ -16,9 +16,9 @@
 RENEW_SECONDS = 30.0
 RETRY_SECONDS = 2.0
 # How often it is looked at whether the entry is still there; this costs no call.
-LOOK_SECONDS = 1.0
+ENTRY_CHECK_SECONDS = 1.0
 # Time until a new entry is in the directory, in seconds.
-LISTED_SECONDS = 4.0
+MAX_LISTING_SECONDS = 4.0
 
 
 class Registration:
@@ -41,7 +41,7 @@
         Returns the store's era, as far as is known. A lease of an earlier one may be
         another node's now; it is not used again. If the entry is listed its lease is
         asked for when it is time to renew it, else the node enters itself anew.
-    get_entering_seconds : callable
+    get_registration_spread_seconds : callable
         Returns the seconds over which all nodes spread that, so that they stay within
         the store's writes.
     clock : callable
@@ -55,7 +55,7 @@
         is_listed,
         is_store_up=lambda: True,
         get_era=lambda: 0,
-        get_entering_seconds=lambda: 0.0,
+        get_registration_spread_seconds=lambda: 0.0,
         clock=time.monotonic,
     ):
         self.source = source
@@ -63,13 +63,13 @@
         self.is_listed = is_listed
         self.is_store_up = is_store_up
         self.get_era = get_era
-        self.get_entering_seconds = get_entering_seconds
+        self.get_registration_spread_seconds = get_registration_spread_seconds
         self.clock = clock
         self.lease = None
         self._era = 0
-        self._may_resume = True
-        self.call_at = float("-inf")
-        self.entered_at = float("-inf")
+        self._can_resume = True
+        self.next_call_at = float("-inf")
+        self.registered_at = float("-inf")
 
     def run(self):
         """Work until the process ends."""
@@ -80,8 +80,8 @@
 
     def _get_pause(self):
         """Return the seconds until it is looked at again whether a call is due."""
-        look = LOOK_SECONDS * random.uniform(0.7, 1.3)
-        until_call = self.call_at - self.clock()
+        look = ENTRY_CHECK_SECONDS * random.uniform(0.7, 1.3)
+        until_call = self.next_call_at - self.clock()
         return until_call if 0 < until_call < look else look
 
     def _resume(self):
@@ -92,22 +92,22 @@
         Held, LeaseLost or StoreFailure
         """
         answer = self.source.resume(self.node)
-        self._may_resume = isinstance(answer, StoreFailure)
+        self._can_resume = isinstance(answer, StoreFailure)
         if isinstance(answer, LeaseGranted):
-            self.entered_at = self.clock()
+            self.registered_at = self.clock()
         return answer
 
     def _is_due(self):
         """Tell whether the store is to be called: to enter, renew or try again."""
         if not self.is_store_up():
             return False
-        self._note_era()
+        self._check_era()
         now = self.clock()
         if self.lease is not None and not self.is_listed(self.node):
-            return now - self.entered_at > LISTED_SECONDS
-        return now >= self.call_at
+            return now - self.registered_at > MAX_LISTING_SECONDS
+        return now >= self.next_call_at
 
-    def _note_era(self):
+    def _check_era(self):
         """Give the lease up if the store has come back from an older copy since."""
         era, known = self.get_era(), self._era
         self._era = max(era, known)
@@ -115,13 +115,13 @@
         if not 0 < known < era:
             return
         self.lease = None
-        self._may_resume = self.is_listed(self.node)
-        if not self._may_resume:
-            spread = self.get_entering_seconds() * random.random()
-            self.call_at = self.clock() + spread
-        log_event(Event.NODE_LEASE_DROPPED, era=era, listed=self._may_resume)
+        self._can_resume = self.is_listed(self.node)
+        if not self._can_resume:
+            spread = self.get_registration_spread_seconds() * random.random()
+            self.next_call_at = self.clock() + spread
+        log_event(Event.NODE_LEASE_DROPPED, era=era, listed=self._can_resume)
 
-    def _note(self, answer):
+    def _record_answer(self, answer):
         """Take the store's answer, and set when to call it again."""
         was_held = self.lease is not None
         if isinstance(answer, LeaseGranted):
@@ -129,20 +129,20 @@
         elif isinstance(answer, LeaseLost):
             self.lease = None
         pause = RENEW_SECONDS if isinstance(answer, LeaseGranted) else RETRY_SECONDS
-        self.call_at = self.clock() + pause * random.uniform(0.7, 1.3)
+        self.next_call_at = self.clock() + pause * random.uniform(0.7, 1.3)
         if was_held != (self.lease is not None):
             event = Event.NODE_ENTERED if self.lease else Event.NODE_ENTRY_LOST
             log_event(event, detail=str(answer))
 
     def _step(self):
         """Resume, enter or renew."""
-        if self._may_resume:
+        if self._can_resume:
             answer = self._resume()
             if not isinstance(answer, LeaseLost):
-                self._note(answer)
+                self._record_answer(answer)
                 return
         if self.lease is None or not self.is_listed(self.node):
-            self.entered_at = self.clock()
-            self._note(self.source.enter(self.node, LEASE_SECONDS))
+            self.registered_at = self.clock()
+            self._record_answer(self.source.enter(self.node, LEASE_SECONDS))
         else:
-            self._note(self.source.renew(self.lease))
+            self._record_answer(self.source.renew(self.lease))
--- a/packages/hingesill-node/hingesill_node/discovery/relayclient.py
+++ b/packages/hingesill-node/hingesill_node/discovery/relayclient.py
@@ -9,10 +9,10 @@
 FEED_PATH = "/directory/feed"
 # A relay answers at once; one that is frozen takes the connection and says
 # nothing more.
-ANSWER_SECONDS = 0.3
+RESPONSE_TIMEOUT_SECONDS = 0.3
 # Heartbeats come every 0.4 s; after three that are missing the relay is given up.
 # A change must be in force within 2 s, so the rest is for asking elsewhere.
-SILENCE_SECONDS = 1.2
+STREAM_TIMEOUT_SECONDS = 1.2
 OK = 200
 
 
@@ -27,9 +27,9 @@
         It said so itself, so it has lost the store and will follow it again.
     """
 
-    def __init__(self, reason, lives=False):
+    def __init__(self, reason, is_alive=False):
         super().__init__(reason)
-        self.lives = lives
+        self.is_alive = is_alive
 
 
 class RelayClient:
@@ -51,7 +51,7 @@
         connection = EndpointConnection(relay.address)
         try:
             yield from self._read(connection)
-            raise RelayLost("the stream ended", lives=True)
+            raise RelayLost("the stream ended", is_alive=True)
         except (ConnectFailed, ValueError, *TRANSPORT_ERRORS) as error:
             raise RelayLost(f"{type(error).__name__} {error}") from error
         finally:
@@ -59,7 +59,7 @@
 
     def _read(self, connection):
         connection.open()
-        connection.set_time_limit(ANSWER_SECONDS)
+        connection.set_time_limit(RESPONSE_TIMEOUT_SECONDS)
         connection.collect()
         connection.begin("GET", FEED_PATH)
         connection.putheader("Host", connection.address)
@@ -67,8 +67,8 @@
         connection.flush()
         response = connection.read_head()
         if response.status != OK:
-            raise RelayLost(f"status {response.status}", lives=True)
-        connection.set_time_limit(SILENCE_SECONDS)
+            raise RelayLost(f"status {response.status}", is_alive=True)
+        connection.set_time_limit(STREAM_TIMEOUT_SECONDS)
         reader = FrameReader()
         for data in response.read_body():
             yield from reader.feed(data)
--- a/packages/hingesill-node/hingesill_node/discovery/reports.py
+++ b/packages/hingesill-node/hingesill_node/discovery/reports.py
@@ -10,21 +10,21 @@
 from hingesill_node.discovery.codec import encode
 from hingesill_node.telemetry.events import Event, log_event
 
-__all__ = ["LARGEST_REPORT", "NEWS_PATH", "Reporter"]
+__all__ = ["MAX_REPORT_BYTES", "REPORT_PATH", "Reporter"]
 
-NEWS_PATH = "/directory/news"
+REPORT_PATH = "/directory/news"
 # Of services of which the fleet does not know enough: one that starts with nothing
 # learns what is usual in one round and the levels in the next, and a burst may come at
 # once.
-URGENT_SECONDS = 1.5
+URGENT_REPORT_SECONDS = 1.5
 # Of all services; what changes is known some 10 s later.
-REPORT_SECONDS = 8.0
+FULL_REPORT_SECONDS = 8.0
 # A relay answers at once.
-ANSWER_SECONDS = 0.5
+RESPONSE_TIMEOUT_SECONDS = 0.5
 # Bytes; a guard of the relay's memory, enough for hundreds of services.
-LARGEST_REPORT = 256 * 1024
-LONGEST_ANSWER = 1024
-TAKEN = 204
+MAX_REPORT_BYTES = 256 * 1024
+MAX_RESPONSE_BYTES = 1024
+NO_CONTENT = 204
 
 
 class Reporter:
@@ -48,12 +48,12 @@
         self.find_relay = find_relay
         self.runners = runners
         self.clock = clock
-        self._all_from = clock() + REPORT_SECONDS
+        self._next_full_report_at = clock() + FULL_REPORT_SECONDS
 
     def run(self):
         """Work until the process ends."""
         while True:
-            eventlet.sleep(URGENT_SECONDS * random.uniform(0.7, 1.3))
+            eventlet.sleep(URGENT_REPORT_SECONDS * random.uniform(0.7, 1.3))
             self.report()
 
     def report(self):
@@ -61,29 +61,29 @@
         relay = self.find_relay()
         if relay is None:
             return
-        only_urgent = self.clock() < self._all_from
+        only_urgent = self.clock() < self._next_full_report_at
         if not only_urgent:
-            self._all_from = self.clock() + REPORT_SECONDS
-        news = self.runners.take_unreported(only_urgent)
-        if news is None:
+            self._next_full_report_at = self.clock() + FULL_REPORT_SECONDS
+        report = self.runners.take_unreported(only_urgent)
+        if report is None:
             return
         connection = EndpointConnection(relay.address)
         try:
-            status = post(connection, encode(news))
+            status = post(connection, encode(report))
         except (ConnectFailed, ValueError, *TRANSPORT_ERRORS) as error:
             status = f"{type(error).__name__} {error}"
         finally:
             connection.close()
-        if status != TAKEN:
+        if status != NO_CONTENT:
             log_event(Event.REPORT_LOST, relay=relay.name, detail=str(status))
 
 
 def post(connection, body):
     """Send a report on a new connection; return the status of the answer."""
     connection.open()
-    connection.set_time_limit(ANSWER_SECONDS)
+    connection.set_time_limit(RESPONSE_TIMEOUT_SECONDS)
     connection.collect()
-    connection.begin("POST", NEWS_PATH)
+    connection.begin("POST", REPORT_PATH)
     connection.putheader("Host", connection.address)
     connection.putheader("Connection", "close")
     connection.putheader("Content-Length", str(len(body)))
@@ -91,5 +91,5 @@
     connection.send(body)
     connection.flush()
     response = connection.read_head()
-    response.read_short(LONGEST_ANSWER)
+    response.read_short(MAX_RESPONSE_BYTES)
     return response.status
--- a/packages/hingesill-node/hingesill_node/discovery/source.py
+++ b/packages/hingesill-node/hingesill_node/discovery/source.py
@@ -1,7 +1,7 @@
-"""The seam to a store that holds declarations and endpoints.
+"""Interface to a store that holds declarations and endpoints.
 
-An adapter registers itself under the scheme of the store's address. Its calls
-run in green threads and never raise: what went wrong is a value.
+An adapter registers itself under the scheme of the store's address. Its calls run in
+green threads and never raise: they return failures as values.
 """
 
 from typing import Protocol
@@ -15,69 +15,68 @@
 
 
 class DirectorySource(Protocol):
-    """What a follower asks of the store."""
+    """Calls of a node to the store."""
 
     def read(self, may_be_stale=False):
-        """Return a Snapshot of everything, or StoreFailure.
+        """Return a Snapshot of the whole store, or StoreFailure.
 
-        One that may be seconds old is cheaper.
+        A read that may be stale by some seconds is cheaper.
         """
 
     def wait(self, after, seconds):
         """Return the Changes after a position as soon as there are any.
 
-        Returns Changes without content after so many seconds, HistoryGone if
-        the store no longer knows, StoreRestored if it came back from an older copy
-        since, or StoreFailure. Its green thread may be
-        killed meanwhile.
+        Returns Changes without content after the given time, HistoryGone if the store
+        has dropped its history, StoreRestored if it was restored from an older copy, or
+        StoreFailure. The calling green thread may be killed during the call.
         """
 
     def check(self):
-        """Return the store's Position, maybe a stale one, or StoreFailure.
+        """Return the store's Position, possibly stale, or StoreFailure.
 
-        It is the cheapest call there is.
+        This is the cheapest call.
         """
 
     def count_invalid(self):
-        """Return how many items are left out now, as they cannot be read."""
+        """Return how many items are skipped because they cannot be decoded."""
 
     def enter(self, node, seconds):
-        """Enter this node under a lease; return its Held or StoreFailure."""
+        """Register this node under a lease; return LeaseGranted or StoreFailure."""
 
     def resume(self, node):
-        """Prolong the lease of the entry that an earlier process here made.
+        """Renew the lease of the entry that an earlier process of this node made.
 
-        Returns Held, LeaseLost if there is no such entry or it says something
-        else, or StoreFailure.
+        Returns LeaseGranted, LeaseLost if there is no such entry or its content
+        differs, or StoreFailure.
         """
 
     def renew(self, lease):
-        """Prolong the lease; return Held, LeaseLost or StoreFailure."""
+        """Renew the lease; return LeaseGranted, LeaseLost or StoreFailure."""
 
     def save_quarantine(self, record, seconds):
-        """Keep a QuarantineRecord for so long; return None or StoreFailure.
+        """Store a QuarantineRecord for a time; return None or StoreFailure.
 
-        One that another node has written stays as it is.
+        A record that another node has written is not replaced.
         """
 
     def delete_quarantine(self, fingerprint):
         """Remove a QuarantineRecord; return None or StoreFailure."""
 
     def save(self, profile):
-        """Keep a Profile in place of the one before; return None or StoreFailure."""
+        """Replace the stored Profile; return None or StoreFailure."""
 
 
 def open_source(url):
-    """Return the source behind an address.
+    """Return the source for an address.
 
     Raises
     ------
     ValueError
-        If no adapter has this scheme.
+        If no adapter is registered for its scheme.
     """
     scheme = urlsplit(url).scheme
     adapter = SOURCES.get(scheme)
     if adapter is None:
         known = ", ".join(SOURCES.list_names()) or "none"
-        raise ValueError(f"no directory source for {url!r}; known are {known}")
+        raise ValueError(f"no directory source for {url!r}; known schemes: {known}")
     return adapter(url)
--- a/packages/hingesill-node/hingesill_node/discovery/storewatch.py
+++ b/packages/hingesill-node/hingesill_node/discovery/storewatch.py
@@ -1,4 +1,4 @@
-"""One waiting watch of the store, which this node may end."""
+"""A watch of the store that the node may interrupt."""
 
 import eventlet
 from greenlet import GreenletExit
@@ -17,7 +17,7 @@
     Attributes
     ----------
     since : float or None
-        When the watch under way began; None without one.
+        When the current watch began; None without one.
     """
 
     def __init__(self, clock):
@@ -26,16 +26,16 @@
         self._thread = None
 
     def wait(self, source, position, seconds):
-        """Return what a watch brings, or None if it was interrupted.
+        """Return the answer of a watch, or None if it was interrupted.
 
         Parameters
         ----------
         source : DirectorySource
-            The store; what can go wrong there is a value, see `DirectorySource`.
+            The store; it returns failures as values, see `DirectorySource`.
         position : Position
-            Changes after it are waited for.
+            Position after which changes are watched for.
         seconds : float
-            Longest wait.
+            Maximum wait.
         """
         self.since = self.clock()
         self._thread = eventlet.spawn(source.wait, position, seconds)
@@ -47,17 +47,16 @@
             self._thread = self.since = None
 
     def interrupt(self):
-        """End the watch that is under way.
+        """Interrupt the current watch.
 
         Notes
         -----
-        Its green thread is ended: closing the socket under it would not wake
-        it, as eventlet tells a waiting thread of that only once the file
-        descriptor is used again.
+        Its green thread is killed. Closing its socket would not wake it, as eventlet
+        notifies a waiting thread of that only once the file descriptor is used again.
         """
         if self._thread is not None:
             self._thread.kill()
 
     def has_waited(self, seconds):
-        """Tell whether a watch is under way that began so long ago."""
+        """Return whether the current watch has lasted longer than ``seconds``."""
         return self.since is not None and self.clock() - self.since > seconds
--- a/packages/hingesill-node/hingesill_node/discovery/tests/restoringfleet.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/restoringfleet.py
@@ -152,20 +152,20 @@
     ----------
     size : int
         Nodes.
-    entering_seconds : float
+    registration_spread_seconds : float
         Over which all nodes enter themselves again.
     """
 
-    def __init__(self, size, entering_seconds):
+    def __init__(self, size, registration_spread_seconds):
         super().__init__(size)
         self.registrations = {
             name: Registration(
                 follower.source,
                 follower.choice.own,
-                lambda node, f=follower: self._lists(f, node),
+                lambda node, f=follower: self._is_listed(f, node),
                 lambda f=follower: f.is_store_available,
                 lambda f=follower: f.directory.position.era,
-                lambda: entering_seconds,
+                lambda: registration_spread_seconds,
                 read_clock,
             )
             for name, follower in self.followers.items()
@@ -179,7 +179,7 @@
         """See `Fleet`."""
         return RestoringSource(self.store, name)
 
-    def _lists(self, follower, node):
+    def _is_listed(self, follower, node):
         directory = follower.directory
         is_held = directory.nodes.get(node.name) == node
         return is_held and node.name not in directory.unlisted
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_follower.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_follower.py
@@ -18,8 +18,8 @@
 )
 from hingesill_core.store import StoreFailure
 from hingesill_node.discovery.follower import (
-    FRESH_SECONDS,
-    FRESH_WATCH_SECONDS,
+    SHORT_WATCH_PERIOD_SECONDS,
+    SHORT_WATCH_SECONDS,
     WATCH_SECONDS,
     Follower,
 )
@@ -72,10 +72,10 @@
 
 
 class NoPeers:
-    def ask(self, directory):
+    def fetch_newer(self, directory):
         return None
 
-    def ask_before_start(self, read):
+    def fetch_newer_at_start(self, read):
         return []
 
 
@@ -83,7 +83,7 @@
     def __init__(self, snapshot):
         self.snapshot = snapshot
 
-    def ask(self, directory):
+    def fetch_newer(self, directory):
         return self.snapshot
 
 
@@ -176,9 +176,9 @@
         follower = self.build(source)
         follower.clock = lambda: now[0]
         self.advance(follower, 2)
-        now[0] += FRESH_SECONDS
+        now[0] += SHORT_WATCH_PERIOD_SECONDS
         self.advance(follower, 1)
-        self.assertEqual(seconds, [FRESH_WATCH_SECONDS, WATCH_SECONDS])
+        self.assertEqual(seconds, [SHORT_WATCH_SECONDS, WATCH_SECONDS])
 
     def test_a_check_that_fails_ends_the_watch_as_an_outage(self):
         source = ScriptedSource([build_snapshot(5, 1)])
@@ -196,7 +196,7 @@
         follower = self.build(ScriptedSource([build_snapshot(5, 1)]), peers)
         self.advance(follower, 1)
         follower.is_store_available = False
-        follower._ask_peer()
+        follower._query_peer()
         self.assertEqual(self.published, [1, 8])
 
     def test_another_node_that_is_behind_changes_nothing(self):
@@ -204,7 +204,7 @@
         follower = self.build(ScriptedSource([build_snapshot(5, 1)]), peers)
         self.advance(follower, 1)
         follower.is_store_available = False
-        follower._ask_peer()
+        follower._query_peer()
         self.assertEqual(list(follower.directory.endpoints), ["i1"])
 
 
@@ -227,7 +227,7 @@
         self.advance(follower, 2)
         self.assertEqual(follower.directory.position, Position(2, 65))
         self.assertEqual(self.published, [24, 24])
-        restores = follower.held.counters.list_counts("store_restores")
+        restores = follower.published_directory.counters.list_counts("store_restores")
         self.assertEqual(restores, [("", "", 1)])
 
     def test_after_an_outage(self):
@@ -269,6 +269,6 @@
         )
         self.advance(follower, 1)
         follower.is_store_available = False
-        follower._ask_peer()
+        follower._query_peer()
         self.assertEqual(self.published, [21, 24])
         self.assertEqual(follower.directory.position, Position(2, 65))
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_outages.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_outages.py
@@ -8,7 +8,7 @@
 
 import eventlet
 
-from hingesill_core.discovery.relays import NODES_A_RELAY
+from hingesill_core.discovery.relays import NODES_PER_RELAY
 from hingesill_node.discovery.storebackoff import FLEET_CALLS_PER_SECOND
 from hingesill_node.discovery.tests.virtualfleet import (
     DATA_CENTRES,
@@ -57,7 +57,7 @@
 
 def count_relays(size):
     """Return how many relays a fleet has in six data centres."""
-    return DATA_CENTRES * (1 + size // DATA_CENTRES // NODES_A_RELAY)
+    return DATA_CENTRES * (1 + size // DATA_CENTRES // NODES_PER_RELAY)
 
 
 def limit_outage_price(size):
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_peers.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_peers.py
@@ -12,7 +12,11 @@
 from hingesill_core.discovery.records import NodeRecord, Snapshot
 from hingesill_node.datapath.server import start_server
 from hingesill_node.discovery.feed import Feed
-from hingesill_node.discovery.peers import ROUND_SECONDS, PeerApplication, PeerClient
+from hingesill_node.discovery.peers import (
+    ROUND_TIMEOUT_SECONDS,
+    PeerApplication,
+    PeerClient,
+)
 from hingesill_node.discovery.tests.test_follower import build_declared, build_snapshot
 
 AT_ONCE_SECONDS = 0.2
@@ -21,23 +25,23 @@
 class Peer:
     """A node that tells what it holds, on loopback."""
 
-    def __init__(self, snapshot=None, is_sure=True):
+    def __init__(self, snapshot=None, is_confirmed=True):
         self.directory = Directory()
         if snapshot is not None:
-            self.directory.adopt(snapshot, 0.0)
+            self.directory.apply_snapshot(snapshot, 0.0)
         self.asked = 0
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(8)
-        self.is_sure = is_sure
+        self.is_confirmed = is_confirmed
         application = PeerApplication(
-            self.directory, Feed(self.directory), is_sure=self._tell_sure
+            self.directory, Feed(self.directory), is_confirmed=self._tell_sure
         )
         self.server = start_server(self.listener, application)
 
     def _tell_sure(self):
         self.asked += 1
-        return self.is_sure
+        return self.is_confirmed
 
     def build_record(self, name):
         address = "127.0.0.1:%d" % self.listener.getsockname()[1]
@@ -63,9 +67,9 @@
         own = NodeRecord("own", "127.0.0.1:1", "a")
         return {**records, "own": own}
 
-    def ask_before_start(self, read, *peers):
+    def fetch_newer_at_start(self, read, *peers):
         nodes = self.list_records(*peers)
-        return self.client.ask_before_start(replace(read, nodes=nodes))
+        return self.client.fetch_newer_at_start(replace(read, nodes=nodes))
 
 
 class StartTests(AskingCase):
@@ -77,24 +81,24 @@
 
     def test_a_node_that_knows_the_era_before_tells_its_declaration(self):
         peer = self.start(replace(build_snapshot(81, 24), position=Position(1, 81)))
-        (told,) = self.ask_before_start(self.read, peer)
+        (told,) = self.fetch_newer_at_start(self.read, peer)
         self.assertEqual(told.declared.version, 24)
         self.assertEqual(told.position, Position(1, 81))
 
     def test_one_that_has_no_more_ends_the_asking(self):
         peers = [self.start(self.read) for _ in range(3)]
-        self.assertEqual(self.ask_before_start(self.read, *peers), [])
+        self.assertEqual(self.fetch_newer_at_start(self.read, *peers), [])
 
     def test_one_that_starts_itself_is_not_believed(self):
         fresh = [self.start(self.read, False) for _ in range(3)]
         sure = self.start(replace(build_snapshot(66, 24), position=Position(2, 66)))
-        (told,) = self.ask_before_start(self.read, *fresh, sure)
+        (told,) = self.fetch_newer_at_start(self.read, *fresh, sure)
         self.assertEqual(told.declared.version, 24)
 
     def test_a_whole_fleet_that_starts_is_not_held_up(self):
         fresh = [self.start(None, False) for _ in range(9)]
         with eventlet.Timeout(AT_ONCE_SECONDS):
-            self.assertEqual(self.ask_before_start(self.read, *fresh), [])
+            self.assertEqual(self.fetch_newer_at_start(self.read, *fresh), [])
         self.assertEqual(sum(peer.asked for peer in fresh), 8)
 
     def test_dark_nodes_are_not_waited_for(self):
@@ -104,37 +108,37 @@
         listener.listen(8)
         address = "127.0.0.1:%d" % listener.getsockname()[1]
         nodes = {f"n{i}": NodeRecord(f"n{i}", address, "a") for i in range(9)}
-        with eventlet.Timeout(2 * ROUND_SECONDS + AT_ONCE_SECONDS):
-            told = self.client.ask_before_start(replace(self.read, nodes=nodes))
+        with eventlet.Timeout(2 * ROUND_TIMEOUT_SECONDS + AT_ONCE_SECONDS):
+            told = self.client.fetch_newer_at_start(replace(self.read, nodes=nodes))
         self.assertEqual(told, [])
 
     def test_without_any_other_node(self):
-        self.assertEqual(self.ask_before_start(self.read), [])
+        self.assertEqual(self.fetch_newer_at_start(self.read), [])
 
 
 class OutageTests(AskingCase):
     """The store does not answer."""
 
-    def ask(self, directory, peer):
+    def fetch_newer(self, directory, peer):
         nodes = self.list_records(peer)
         held = replace(directory.build_snapshot(), nodes=nodes)
-        directory.adopt(held, 0.0)
-        return self.client.ask(directory)
+        directory.apply_snapshot(held, 0.0)
+        return self.client.fetch_newer(directory)
 
     def test_one_that_leads_further_tells_all(self):
         directory = Directory()
-        directory.adopt(build_snapshot(5, 1), 0.0)
-        told = self.ask(directory, self.start(build_snapshot(12, 8)))
+        directory.apply_snapshot(build_snapshot(5, 1), 0.0)
+        told = self.fetch_newer(directory, self.start(build_snapshot(12, 8)))
         self.assertEqual(told.position, Position(0, 12))
 
     def test_one_that_is_behind_tells_nothing(self):
         directory = Directory()
-        directory.adopt(build_snapshot(5, 1), 0.0)
-        self.assertIsNone(self.ask(directory, self.start(build_snapshot(4, 1))))
+        directory.apply_snapshot(build_snapshot(5, 1), 0.0)
+        self.assertIsNone(self.fetch_newer(directory, self.start(build_snapshot(4, 1))))
 
     def test_one_that_answers_nonsense_is_no_news(self):
         directory = Directory()
-        directory.adopt(Snapshot(Position(1, 1), build_declared(1)), 0.0)
+        directory.apply_snapshot(Snapshot(Position(1, 1), build_declared(1)), 0.0)
         listener = socket.socket()
         self.addCleanup(listener.close)
         listener.bind(("127.0.0.1", 0))
@@ -148,5 +152,5 @@
         self.addCleanup(server.kill)
         address = "127.0.0.1:%d" % listener.getsockname()[1]
         nodes = {"n1": NodeRecord("n1", address, "a")}
-        directory.adopt(replace(directory.build_snapshot(), nodes=nodes), 0.0)
-        self.assertIsNone(self.client.ask(directory))
+        directory.apply_snapshot(replace(directory.build_snapshot(), nodes=nodes), 0.0)
+        self.assertIsNone(self.client.fetch_newer(directory))
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_profiles.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_profiles.py
@@ -14,7 +14,7 @@
 from hingesill_core.routing.profile import LevelProfile, Profile, ServiceProfile
 from hingesill_core.store import StoreFailure
 from hingesill_node.discovery.codec import decode_snapshot, encode
-from hingesill_node.discovery.profiles import PAUSE_SECONDS, ProfileStore
+from hingesill_node.discovery.profiles import MIN_WRITE_INTERVAL_SECONDS, ProfileStore
 
 KEPT = ServiceProfile((LevelProfile(3, 1, 40.0, 0.0),))
 HELD = Profile({"quiet": KEPT, "removed": KEPT})
@@ -57,7 +57,9 @@
         self.store = FakeStore()
         self.runners = FakeRunners()
         self.directory = Directory()
-        self.directory.adopt(Snapshot(Position(0, 1), DECLARED, profile=HELD), 0.0)
+        self.directory.apply_snapshot(
+            Snapshot(Position(0, 1), DECLARED, profile=HELD), 0.0
+        )
         self.now = 0.0
         self.profiles = ProfileStore(
             self.store, self.directory, self.runners, lambda: True, lambda: self.now
@@ -92,7 +94,7 @@
         self.assertTrue(self.profiles.is_due())
         self.profiles.review()
         self.assertFalse(self.profiles.is_due())
-        self.now = PAUSE_SECONDS
+        self.now = MIN_WRITE_INTERVAL_SECONDS
         self.assertTrue(self.profiles.is_due())
 
 
@@ -103,8 +105,8 @@
 
     def test_changes_replace_it_and_others_leave_it(self):
         directory = Directory()
-        directory.adopt(Snapshot(Position(0, 1), profile=HELD), 0.0)
-        directory.apply(Changes(Position(0, 2)), 0.0)
+        directory.apply_snapshot(Snapshot(Position(0, 1), profile=HELD), 0.0)
+        directory.apply_changes(Changes(Position(0, 2)), 0.0)
         self.assertEqual(directory.profile, HELD)
-        directory.apply(Changes(Position(0, 3), profile=Profile()), 0.0)
+        directory.apply_changes(Changes(Position(0, 3), profile=Profile()), 0.0)
         self.assertEqual(directory.profile, Profile())
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_registration.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_registration.py
@@ -4,7 +4,7 @@
 
 from hingesill_core.discovery.records import NodeRecord
 from hingesill_core.store import LeaseGranted, LeaseLost, StoreFailure
-from hingesill_node.discovery.registration import LISTED_SECONDS, Registration
+from hingesill_node.discovery.registration import MAX_LISTING_SECONDS, Registration
 
 
 class EntrySource:
@@ -34,7 +34,7 @@
         self.listed = True
         self.is_up = True
         self.era = 1
-        self.entering_seconds = 10.0
+        self.registration_spread_seconds = 10.0
         self.source = EntrySource()
         self.registration = Registration(
             self.source,
@@ -42,7 +42,7 @@
             lambda node: self.listed,
             lambda: self.is_up,
             lambda: self.era,
-            lambda: self.entering_seconds,
+            lambda: self.registration_spread_seconds,
             lambda: self.now,
         )
 
@@ -79,7 +79,7 @@
 
     def test_an_entry_that_lapsed_is_made_again(self):
         self.turn()
-        self.now = LISTED_SECONDS + 1.0
+        self.now = MAX_LISTING_SECONDS + 1.0
         self.listed = False
         self.turn()
         self.turn()
@@ -121,7 +121,7 @@
         self.turn()
         self.assertEqual(self.source.calls, [])
         self.source.resume_answer = LeaseGranted("2/9", 120.0)
-        self.now = self.registration.call_at
+        self.now = self.registration.next_call_at
         self.turn()
         self.assertEqual(self.source.calls, ["resume"])
         self.assertEqual(self.registration.lease, "2/9")
@@ -129,8 +129,10 @@
     def test_one_that_it_lacks_is_made_again_within_its_time(self):
         self.era, self.listed = 2, False
         self.turn()
-        self.assertLessEqual(self.registration.call_at, self.entering_seconds)
-        self.now = self.entering_seconds
+        self.assertLessEqual(
+            self.registration.next_call_at, self.registration_spread_seconds
+        )
+        self.now = self.registration_spread_seconds
         self.turn()
         self.assertEqual(self.source.calls, ["enter"])
 
@@ -138,7 +140,7 @@
         for self.era in (2, 3):
             self.listed = False
             self.turn()
-            self.now += self.entering_seconds
+            self.now += self.registration_spread_seconds
             self.turn()
             self.listed = True
         self.assertEqual(self.source.calls, ["enter", "enter"])
@@ -154,7 +156,7 @@
         self.turn()
         self.era, self.listed = 3, False
         self.turn()
-        self.now = self.entering_seconds
+        self.now = self.registration_spread_seconds
         self.turn()
         self.assertEqual(self.source.calls, ["enter"])
 
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
@@ -18,7 +18,7 @@
 from hingesill_node.discovery.frames import FrameKind, FrameReader, build_frame
 from hingesill_node.discovery.peers import PeerApplication
 from hingesill_node.discovery.relayclient import RelayClient, RelayLost
-from hingesill_node.discovery.reports import LARGEST_REPORT, Reporter, post
+from hingesill_node.discovery.reports import MAX_REPORT_BYTES, Reporter, post
 from hingesill_node.discovery.tests.test_follower import (
     FAILED,
     NoPeers,
@@ -39,7 +39,7 @@
         self.follower = Follower(
             self.source, NoPeers(), lambda directory: None, choice, RelayClient()
         )
-        self.follower._has_begun = True
+        self.follower._is_bootstrapped = True
         self.news = []
         application = PeerApplication(
             self.follower.directory, self.follower.feed, self.news.append
@@ -52,8 +52,8 @@
         return replace(snapshot, nodes=nodes)
 
     def change(self, changes):
-        self.follower.directory.apply(changes, time.monotonic())
-        self.follower.held.publish_changes()
+        self.follower.directory.apply_changes(changes, time.monotonic())
+        self.follower.published_directory.publish_changes()
 
     def close(self):
         self.follower.feed.close("the test ends")
@@ -78,7 +78,7 @@
     def start(self):
         thread = eventlet.spawn(self.follower._follow)
         self.addCleanup(thread.kill)
-        self.wait_for(lambda: self.follower.follows == "relay")
+        self.wait_for(lambda: self.follower.followed_relay == "relay")
         self.wait_for(lambda: len(self.follower.directory.endpoints) == 2)
 
     def wait_for(self, condition, seconds=2.0):
@@ -113,16 +113,16 @@
         for _ in range(8):
             eventlet.sleep(0.25)
             self.relay.follower._check(Position(0, 5))
-        self.assertEqual(self.follower.follows, "relay")
+        self.assertEqual(self.follower.followed_relay, "relay")
 
     def test_a_relay_that_is_behind_takes_nothing_back(self):
         ahead = build_snapshot(6, 2, ("i2", "i3"))
         nodes = {"relay": self.relay.node}
-        self.follower.directory.adopt(replace(ahead, nodes=nodes), 0.0)
-        self.follower._has_begun = True
+        self.follower.directory.apply_snapshot(replace(ahead, nodes=nodes), 0.0)
+        self.follower._is_bootstrapped = True
         thread = eventlet.spawn(self.follower._follow)
         self.addCleanup(thread.kill)
-        self.wait_for(lambda: self.follower.follows == "relay")
+        self.wait_for(lambda: self.follower.followed_relay == "relay")
         self.assertEqual(sorted(self.follower.directory.endpoints), ["i2", "i3"])
         # The store tells the relay of all that changed since 5, also of what the
         # follower knows already.
@@ -142,11 +142,11 @@
     def test_what_came_and_went_while_a_relay_was_behind_is_gone(self):
         ahead = replace(build_snapshot(6, 2, ("i2", "i3")), evacuated={"b": 6})
         nodes = {"relay": self.relay.node}
-        self.follower.directory.adopt(replace(ahead, nodes=nodes), 0.0)
-        self.follower._has_begun = True
+        self.follower.directory.apply_snapshot(replace(ahead, nodes=nodes), 0.0)
+        self.follower._is_bootstrapped = True
         thread = eventlet.spawn(self.follower._follow)
         self.addCleanup(thread.kill)
-        self.wait_for(lambda: self.follower.follows == "relay")
+        self.wait_for(lambda: self.follower.followed_relay == "relay")
         self.assertEqual(self.follower.directory.evacuated, {"b": 6})
         self.relay.change(Changes(Position(0, 8), build_snapshot(8, 5).declared))
         self.wait_for(lambda: self.follower.directory.declared.version == 5)
@@ -162,7 +162,7 @@
     def test_a_stopping_relay_ends_its_streams_and_takes_no_more(self):
         self.start()
         self.source.reads.append(build_snapshot(9, 4))
-        self.relay.follower.leave()
+        self.relay.follower.stop_relaying()
         self.wait_for(lambda: not self.relay.follower.feed.followers, 0.5)
         self.wait_for(lambda: self.published[-1] == 4, 1.9)
 
@@ -172,7 +172,7 @@
             self.assertIsNotNone(thread)
         self.follower.choice.own = self.relay.node
         self.relay.follower._check(Position(0, 5))
-        self.wait_for(lambda: self.follower.follows == "")
+        self.wait_for(lambda: self.follower.followed_relay == "")
         for _ in range(20):
             self.relay.follower._check(Position(0, 5))
             eventlet.sleep(0.01)
@@ -218,14 +218,14 @@
     def test_one_that_is_too_large_is_refused(self):
         connection = EndpointConnection(self.relay.node.address)
         self.addCleanup(connection.close)
-        self.assertEqual(post(connection, b"x" * (LARGEST_REPORT + 1)), 413)
+        self.assertEqual(post(connection, b"x" * (MAX_REPORT_BYTES + 1)), 413)
 
 
 class RelayClientTests(unittest.TestCase):
     def test_a_relay_that_takes_nobody(self):
         relay = Relay(build_snapshot(5))
         self.addCleanup(relay.close)
-        relay.follower.feed.end("the node stops")
+        relay.follower.feed.shut_down("the node stops")
         with self.assertRaises(RelayLost):
             list(RelayClient().follow(relay.node))
 
@@ -284,7 +284,9 @@
         )
         for _ in range(200):
             follower._pause()
-            self.assertLessEqual(follower.pauses.until - 100.0, self.BOUND_SECONDS)
+            self.assertLessEqual(
+                follower.store_backoff.until - 100.0, self.BOUND_SECONDS
+            )
 
 
 class RefusingRelays:
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_restored_fleet.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_restored_fleet.py
@@ -10,7 +10,10 @@
 import eventlet
 from msgspec.structs import replace
 
-from hingesill_node.discovery.control import ENTERING_SHARE, ENTERING_WRITES
+from hingesill_node.discovery.control import (
+    REGISTRATION_WRITE_SHARE,
+    REGISTRATION_WRITES,
+)
 from hingesill_node.discovery.tests.restoringfleet import RestoringFleet
 from hingesill_node.discovery.tests.virtualfleet import read_clock, run_virtually
 
@@ -105,8 +108,10 @@
 
 
 def play_here(wanted):
-    writes = wanted.size * ENTERING_WRITES
-    fleet = RestoringFleet(wanted.size, writes / (ENTERING_SHARE * WRITES_A_SECOND))
+    writes = wanted.size * REGISTRATION_WRITES
+    fleet = RestoringFleet(
+        wanted.size, writes / (REGISTRATION_WRITE_SHARE * WRITES_A_SECOND)
+    )
     store = fleet.store
     store.lets_wait = wanted.lets_wait
     nodes = store.snapshot.nodes
--- a/packages/hingesill-node/hingesill_node/discovery/tests/virtualfleet.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/virtualfleet.py
@@ -14,8 +14,12 @@
 from hingesill_core.store import StoreFailure
 from hingesill_node.discovery.follower import Follower
 from hingesill_node.discovery.frames import FrameReader
-from hingesill_node.discovery.peers import ASKED_TOGETHER, MOST_ROUNDS, find_known
-from hingesill_node.discovery.relayclient import SILENCE_SECONDS, RelayLost
+from hingesill_node.discovery.peers import (
+    MAX_QUERY_ROUNDS,
+    QUERIES_PER_ROUND,
+    build_known_state,
+)
+from hingesill_node.discovery.relayclient import STREAM_TIMEOUT_SECONDS, RelayLost
 from hingesill_node.discovery.tests.test_follower import build_snapshot
 
 ANSWER_SECONDS = 0.004
@@ -154,16 +158,16 @@
             raise RelayLost("no connection")
         subscription = self.fleet.followers[relay.name].feed.subscribe()
         if subscription is None:
-            raise RelayLost("status 503", lives=True)
+            raise RelayLost("status 503", is_alive=True)
         reader = FrameReader()
         try:
             while True:
-                with eventlet.Timeout(SILENCE_SECONDS, RelayLost("silence")):
+                with eventlet.Timeout(STREAM_TIMEOUT_SECONDS, RelayLost("silence")):
                     data = next(subscription, None)
                 if relay.name in self.fleet.silent:
                     raise RelayLost("silence")
                 if data is None:
-                    raise RelayLost("the stream ended", lives=True)
+                    raise RelayLost("the stream ended", is_alive=True)
                 yield from reader.feed(data)
         finally:
             subscription.close()
@@ -176,31 +180,31 @@
         self.fleet = fleet
         self.rng = rng
 
-    def ask(self, directory):
+    def fetch_newer(self, directory):
         """Return what another node holds if that is more."""
         eventlet.sleep(WAY_SECONDS)
         other = self._choose()
-        return self._tell(other, find_known(directory))
+        return self._tell(other, build_known_state(directory))
 
-    def ask_before_start(self, read):
+    def fetch_newer_at_start(self, read):
         """Return what the first of some nodes holds that is sure of it."""
-        for _ in range(MOST_ROUNDS * ASKED_TOGETHER):
+        for _ in range(MAX_QUERY_ROUNDS * QUERIES_PER_ROUND):
             eventlet.sleep(WAY_SECONDS)
             other = self._choose()
             if self._can_tell(other):
-                told = self._tell(other, find_known(read))
+                told = self._tell(other, build_known_state(read))
                 return [] if told is None else [told]
         return []
 
     def _tell(self, other, known):
         """Return what a node holds if that is more, as `PeerApplication` does."""
-        own = find_known(other.directory)
+        own = build_known_state(other.directory)
         is_more = own.position > known.position or own.version > known.version
         is_told = self._can_tell(other) and is_more
         return other.directory.build_snapshot() if is_told else None
 
     def _can_tell(self, other):
-        return other.is_sure and other.choice.own.name not in self.fleet.silent
+        return other.is_confirmed and other.choice.own.name not in self.fleet.silent
 
     def _choose(self):
         return self.rng.choice(list(self.fleet.followers.values()))
