--- a/packages/hingesill-node/hingesill_node/discovery/__init__.py
+++ b/packages/hingesill-node/hingesill_node/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Following the directory of endpoints that the platform's store holds."""
+"""Follows the directory in the platform's store."""
--- a/packages/hingesill-node/hingesill_node/discovery/codec.py
+++ b/packages/hingesill-node/hingesill_node/discovery/codec.py
@@ -1,4 +1,4 @@
-"""Directories and their changes as bytes, for other nodes."""
+"""Encodes directories and their changes for other nodes."""
 
 import zlib
 
@@ -10,7 +10,7 @@
 
 __all__ = ["decode_changes", "decode_profile", "decode_snapshot", "encode"]
 
-# Of zlib: what goes to many nodes is encoded once, and links may be narrow.
+# Level of zlib. Content for many nodes is encoded once, and bandwidth may be low.
 COMPRESSION_LEVEL = 6
 
 SNAPSHOT_DECODER = Decoder(Snapshot)
@@ -24,30 +24,30 @@
 
 
 def decode_snapshot(encoded):
-    """Return the Snapshot that bytes hold.
+    """Return the Snapshot encoded in bytes.
 
     Raises
     ------
     ValueError
-        If they hold none.
+        If the bytes are not a valid Snapshot.
     """
     return decode(encoded, SNAPSHOT_DECODER)
 
 
 def decode_changes(encoded):
-    """Return the Changes that bytes hold; ValueError if they hold none."""
+    """Return the Changes encoded in bytes; raise ValueError if they are invalid."""
     return decode(encoded, CHANGES_DECODER)
 
 
 def decode_profile(encoded):
-    """Return the Profile that bytes hold; ValueError if they hold none."""
+    """Return the Profile encoded in bytes; raise ValueError if it is invalid."""
     return decode(encoded, PROFILE_DECODER)
 
 
 def decode(encoded, decoder):
-    """Return the content of one kind; ValueError if there is none."""
+    """Return the decoded content; raise ValueError if it is invalid."""
     try:
         return decoder.decode(zlib.decompress(encoded))
     except (zlib.error, DecodeError, RecursionError) as error:
         name = decoder.type.__name__.lower()
-        raise ValueError(f"not a {name}: {error}") from error
+        raise ValueError(f"invalid {name}: {error}") from error
--- a/packages/hingesill-node/hingesill_node/discovery/control.py
+++ b/packages/hingesill-node/hingesill_node/discovery/control.py
@@ -1,4 +1,4 @@
-"""The control of a node that follows a directory in the platform's store."""
+"""Control of a node that follows a directory in the platform's store."""
 
 import random
 
@@ -31,40 +31,40 @@
 
 __all__ = ["DirectoryControl", "NoAnnouncements"]
 
-# Factor of the known nodes by which connections are shared out, as nodes may start
+# Connections are divided among the known nodes times this factor, as nodes may start
 # before others know of them.
 NODE_HEADROOM_FACTOR = 2
 MAX_SILENCE_SECONDS = 3.0
-# A node that enters itself asks for a lease and writes its entry under that.
+# A node that registers creates a lease and writes its entry under it.
 REGISTRATION_WRITES = 2
-# Of the store's writes while all nodes enter again; the endpoints and the operator
-# write at that time too.
+# Share of the store's write rate for nodes that register again; the endpoints and the
+# operator write at the same time.
 REGISTRATION_WRITE_SHARE = 0.6
 
 
 class NoAnnouncements:
-    """For nodes that tell each other nothing of endpoints."""
+    """Announcements of a node that sends no notices on endpoints to other nodes."""
 
     is_connected = False
 
     def announce_drain(self, endpoint):
-        """Drop the word that an endpoint is leaving: its entry says so too."""
+        """Drop a drain notice: the endpoint's entry in the store says so too."""
 
     def announce_suspicion(self, endpoint, ratio, now):
-        """Drop the word that an answer is overdue."""
+        """Drop a suspicion that a response is overdue."""
 
 
 class DirectoryControl:
-    """Follows the directory and publishes it to the blackboard.
+    """Follows the store and publishes the directory to the blackboard.
 
     Parameters
     ----------
     settings : Settings
-        Validated.
+        Validated settings.
     blackboard : Blackboard
-        Its configuration and fleet are written.
+        Receives the configuration, the fleet and the profile.
     counters : Counters
-        Of the node.
+        Counters of the node.
     """
 
     def __init__(self, settings, blackboard, counters):
@@ -87,7 +87,8 @@
         peers = PeerClient(vm, settings.data_centre)
         entry = NodeRecord(vm, self.address, settings.data_centre, settings.strength)
         choice = RelayChoice(entry, random.Random())
-        # How old a belief is counts the time in which the VM was suspended.
+        # The boot-time clock counts time during which the VM is suspended, so that the
+        # age of the directory includes it.
         self.clock = read_boot_time
         self.follower = Follower(
             source, peers, self.publish, choice, RelayClient(), self.clock, counters
@@ -138,7 +139,7 @@
         return self._start_datagrams(runners)
 
     def _start_quarantine_store(self, guard):
-        """Keep in the store which requests are held back."""
+        """Synchronise quarantined requests with the store."""
         follower = self.follower
         self.quarantine_store = QuarantineStore(
             follower.source,
@@ -151,7 +152,7 @@
         eventlet.spawn(self.quarantine_store.run)
 
     def _start_datagrams(self, runners):
-        """Let nodes tell each other what they need not agree on; see `start`."""
+        """Start gossip on crashes and limits, which needs no agreement; see `start`."""
         port = DatagramPort(self.counters)
         try:
             port.start(self.address)
@@ -164,13 +165,13 @@
         return ""
 
     def list_peers(self):
-        """Return IP number and port of the control address of each other node."""
+        """Return IP address and port of the control address of each other node."""
         nodes = self.follower.directory.nodes.values()
         own = self.follower.choice.own.name
         return [split_address(node.address) for node in nodes if node.name != own]
 
     def publish(self, directory):
-        """Put what the directory holds in force."""
+        """Publish the directory's content to the blackboard."""
         fleet = self._build_fleet(directory)
         if fleet != self.blackboard.fleet:
             self.blackboard.write("fleet", fleet)
@@ -187,7 +188,7 @@
         if directory.declared is None:
             return
         declared = directory.declared
-        # Written again after a restore, a version may have other content.
+        # A version that is written again after a restore may have other content.
         if declared is not self._declared:
             self._declared = declared
             self._routes = RouteTable(declared.routes)
@@ -204,7 +205,7 @@
         self.blackboard.write("configuration", configuration)
 
     def _log_evacuations(self, directory):
-        """Write a line for each data centre whose evacuation begins or ends here."""
+        """Log each evacuation that starts or ends with this directory."""
         before, self._evacuated = self._evacuated, directory.evacuated
         for name, requested in find_changed_evacuations(
             before, directory.evacuated
@@ -220,13 +221,13 @@
             )
 
     def _is_listed(self, node):
-        """Tell whether the store lists a node's entry, as far as is known."""
+        """Return whether the store lists a node's entry, as far as is known."""
         directory = self.follower.directory
-        is_held = directory.nodes.get(node.name) == node
-        return is_held and node.name not in directory.unlisted
+        is_known = directory.nodes.get(node.name) == node
+        return is_known and node.name not in directory.unlisted
 
     def _get_registration_spread_seconds(self):
-        """Return the seconds over which nodes enter themselves after a restore."""
+        """Return the seconds over which all nodes register again after a restore."""
         writes = REGISTRATION_WRITES * len(self.follower.directory.nodes)
         return writes / (
             REGISTRATION_WRITE_SHARE * self.settings.store_writes_per_second
@@ -235,8 +236,9 @@
     def _build_fleet(self, directory):
         nodes = self.fleet_size.record(len(directory.nodes), self.clock())
         limit = NODE_HEADROOM_FACTOR * nodes
-        # Looked for only where it decides who saves a token up: a view that changes
-        # with each node that comes makes all services be configured anew.
+        # The index matters only if the nodes outnumber the extra sends, as it decides
+        # which nodes accumulate tokens. A fleet view that changes with each new node
+        # would make all services be configured again.
         node_index = 0
         if nodes > self.settings.extra_sends:
             node_index = find_node_index(directory.nodes, self.follower.choice.own.name)
@@ -259,7 +261,7 @@
         return self.follower.source.count_invalid()
 
     def apply(self, settings):
-        """See `node.Control`; the store may move, the rest needs a new start."""
+        """See `node.Control`; only the store's address applies without a restart."""
         if settings.directory == self.settings.directory:
             return []
         self.settings = settings
@@ -274,14 +276,14 @@
         self.follower.stop_relaying()
 
     def stop(self):
-        """Green threads end with the process."""
+        """Do nothing: green threads end with the process."""
 
 
 def find_node_index(nodes, name):
-    """Return how many nodes' names go before one; None if it is not among them."""
+    """Return the number of nodes whose names sort before a name; None if unknown."""
     return sum(other < name for other in nodes) if name in nodes else None
 
 
 def parse_regions(text):
-    """Return the region by data centre of a setting that was checked."""
+    """Return the region by data centre from a validated setting."""
     return dict(item.split("=") for item in text.split(",") if item)
--- a/packages/hingesill-node/hingesill_node/discovery/feed.py
+++ b/packages/hingesill-node/hingesill_node/discovery/feed.py
@@ -1,4 +1,4 @@
-"""A relay's side of following: what it tells each of its followers."""
+"""The change feed that a relay streams to its followers."""
 
 import time
 
@@ -11,22 +11,22 @@
 
 __all__ = ["Feed", "Subscription"]
 
-# Frames that a follower may lag behind: half a minute of heartbeats.
+# Frames queued for a follower that lags behind: half a minute of heartbeats.
 MAX_QUEUED_FRAMES = 64
-# Streams that one relay serves, as a guard of its memory; four times what a
-# relay gets by the choice of relays.
+# Followers of one relay, to bound its memory; four times the number that the selection
+# of relays gives it.
 MAX_FOLLOWERS = 320
 
 
 class Subscription:
-    """The answer to one follower: an iterable of frames that ends with the feed.
+    """The response to one follower: an iterable of frames that ends with the feed.
 
     Parameters
     ----------
     feed : Feed
-        Left when the server closes the answer.
+        The feed, which drops the subscription when the server closes the response.
     first : bytes
-        The frame that tells everything.
+        The frame with the complete directory.
     """
 
     def __init__(self, feed, first):
@@ -47,25 +47,25 @@
         return frame
 
     def put(self, frame):
-        """Add a frame, None for the end; one that lags too far is ended."""
+        """Queue a frame, None for the end; close the response if the queue is full."""
         try:
             self._queue.put_nowait(frame)
         except Full:
             self.close()
 
     def close(self):
-        """End the answer; the server calls it too."""
+        """End the response; the server calls it too."""
         self._ended = True
         self._feed.remove(self)
 
 
 class Feed:
-    """Tells followers what this node holds, while it follows the store itself.
+    """Streams this node's directory to followers while it is in sync with the store.
 
     Parameters
     ----------
     directory : Directory
-        What is told.
+        The published directory.
     clock : callable
         Monotonic seconds.
     """
@@ -75,23 +75,23 @@
         self.clock = clock
         self.is_open = False
         self._ended = False
-        # A dict, so that all are told in the order in which they came.
+        # A dict, so that followers are served in the order of subscription.
         self._followers = {}
         self._last_published = None
 
     @property
     def followers(self):
-        """How many nodes are told."""
+        """Number of followers."""
         return len(self._followers)
 
     def open(self):
-        """Take followers from now on: the directory is what the store holds."""
+        """Accept followers, as the directory is in sync with the store."""
         if not self.is_open and not self._ended:
             self.is_open = True
             log_event(Event.FEED_OPENED, position=str(self.directory.position))
 
     def close(self, reason):
-        """End all streams; their readers turn to another relay at once."""
+        """End all streams; their readers switch to another relay at once."""
         if not self.is_open:
             return
         self.is_open = False
@@ -101,12 +101,12 @@
         self._followers.clear()
 
     def shut_down(self, reason):
-        """Close for good."""
+        """Close the feed permanently."""
         self._ended = True
         self.close(reason)
 
     def subscribe(self):
-        """Return the Subscription of a new follower, or None if it is not taken."""
+        """Return the Subscription of a new follower, or None if it is refused."""
         if not self.is_open or self.followers >= MAX_FOLLOWERS:
             return None
         snapshot = self.directory.build_snapshot()
@@ -117,11 +117,11 @@
         return subscription
 
     def remove(self, subscription):
-        """Forget a follower."""
+        """Remove a follower's subscription."""
         self._followers.pop(subscription, None)
 
     def publish(self):
-        """Tell all followers what has changed."""
+        """Send the changes since the last call to all followers."""
         if not self._followers:
             return
         snapshot = self.directory.build_snapshot()
@@ -130,7 +130,7 @@
         self._send(self._build(FrameKind.CHANGES, changes))
 
     def send_heartbeat(self):
-        """Tell all followers that nothing else has changed."""
+        """Send a heartbeat to all followers."""
         if self._followers:
             self._send(self._build(FrameKind.HEARTBEAT))
 
--- a/packages/hingesill-node/hingesill_node/discovery/frames.py
+++ b/packages/hingesill-node/hingesill_node/discovery/frames.py
@@ -1,4 +1,4 @@
-"""What a relay sends to its followers: frames on one long answer."""
+"""Frames that a relay sends to its followers as a streamed response."""
 
 import struct
 from enum import IntEnum
@@ -10,33 +10,34 @@
 __all__ = ["Frame", "FrameKind", "FrameReader", "build_frame"]
 
 # Kind, seconds since the store's last return (negative if none), payload's length.
-HEAD = struct.Struct("!BdI")
+HEADER = struct.Struct("!BdI")
 NO_RETURN = -1.0
 MAX_PAYLOAD_BYTES = 16 * 1024 * 1024
 
 
 class FrameKind(IntEnum):
-    """What a frame tells."""
+    """Kinds of frames."""
 
-    # The relay has just had the store's word that it knows everything.
+    # The store has just confirmed that the relay is up to date.
     HEARTBEAT = 0
-    # All that the relay holds.
+    # The relay's complete directory.
     WHOLE = 1
-    # What has changed since the frame before.
+    # Changes since the previous frame.
     CHANGES = 2
 
 
 class Frame(Struct, frozen=True):
-    """One frame as a follower gets it.
+    """A decoded frame.
 
     Parameters
     ----------
     kind : FrameKind
-        What it tells.
+        The frame's kind.
     return_age : float or None
-        Seconds since the relay saw the store come back; None if it never did.
+        Seconds since the store last became available again, as seen by the relay; None
+        if it saw no outage.
     content : Snapshot, Changes or None
-        None with a heartbeat.
+        None for a heartbeat.
     """
 
     kind: FrameKind
@@ -50,45 +51,45 @@
     Parameters
     ----------
     kind : FrameKind
-        What it tells.
+        The frame's kind.
     return_age : float or None
-        Seconds since the relay saw the store come back; None if it never did.
+        See `Frame`.
     payload : bytes
-        The encoded content; none with a heartbeat.
+        The encoded content; empty for a heartbeat.
     """
     age = NO_RETURN if return_age is None else return_age
-    return HEAD.pack(kind, age, len(payload)) + payload
+    return HEADER.pack(kind, age, len(payload)) + payload
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames."""
+    """Decodes frames from a stream of bytes."""
 
     def __init__(self):
         self._buffer = bytearray()
 
     def feed(self, data):
-        """Take bytes; yield the frames that are whole now.
+        """Add received bytes; yield the frames that are complete.
 
         Raises
         ------
         ValueError
-            If the bytes are no frames.
+            If the bytes are not valid frames.
         """
         self._buffer += data
-        while len(self._buffer) >= HEAD.size:
-            kind, age, length = HEAD.unpack_from(self._buffer)
+        while len(self._buffer) >= HEADER.size:
+            kind, age, length = HEADER.unpack_from(self._buffer)
             if length > MAX_PAYLOAD_BYTES:
-                raise ValueError(f"a frame of {length} bytes")
-            end = HEAD.size + length
+                raise ValueError(f"frame payload of {length} bytes is too long")
+            end = HEADER.size + length
             if len(self._buffer) < end:
                 return
-            payload = bytes(self._buffer[HEAD.size : end])
+            payload = bytes(self._buffer[HEADER.size : end])
             del self._buffer[:end]
             yield decode_frame(FrameKind(kind), age, payload)
 
 
 def decode_frame(kind, age, payload):
-    """Return the Frame of a head and a payload; ValueError if it is none."""
+    """Return the Frame of a header and a payload; raise ValueError if invalid."""
     return_age = None if age < 0 else age
     if kind is FrameKind.WHOLE:
         return Frame(kind, return_age, decode_snapshot(payload))
--- a/packages/hingesill-node/hingesill_node/discovery/peers.py
+++ b/packages/hingesill-node/hingesill_node/discovery/peers.py
@@ -1,4 +1,4 @@
-"""Nodes that tell each other what they hold: at their start, and without the store."""
+"""Exchange of directories between nodes, at their start and in outages of the store."""
 
 import random
 from urllib.parse import parse_qs, urlencode
@@ -24,24 +24,24 @@
 RESPONSE_TIMEOUT_SECONDS = 0.5
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 BINARY_HEADERS = [("Content-Type", "application/octet-stream")]
-# Nodes that a starting node queries at a time, and rounds: most nodes may have started
-# at one moment and not be sure of what they hold.
+# Nodes that a starting node queries at a time, and its rounds. Most nodes may have
+# started at the same time, with directories that are not confirmed yet.
 QUERIES_PER_ROUND = 4
 MAX_QUERY_ROUNDS = 2
-# Of one round. A node that lives answers within some milliseconds; dark ones are not
-# waited for longer, since callers are.
+# A running node answers within milliseconds. Unreachable nodes must not delay the start
+# further, since callers are waiting.
 ROUND_TIMEOUT_SECONDS = 0.25
 
 
 class KnownState(Struct, frozen=True):
-    """How far a node knows: what it need not be told.
+    """State that a node has, so that only newer content is sent to it.
 
     Parameters
     ----------
     position : Position
-        Of the store, the latest that it holds.
+        The latest position of the store that the node knows.
     version : int
-        Of the declaration that it holds; 0 without one.
+        Version of its declaration; 0 without one.
     """
 
     position: Position = Position()
@@ -49,23 +49,23 @@
 
 
 class UpToDate(Struct, frozen=True):
-    """A node that is sure of what it holds has nothing to add."""
+    """The answer of a node with a confirmed directory that has nothing newer."""
 
 
 class PeerApplication:
-    """A WSGI application that tells what this node holds.
+    """A WSGI application that serves this node's directory to other nodes.
 
     Parameters
     ----------
     directory : Directory
-        What it holds.
+        The node's directory.
     feed : Feed
-        Its streams to followers.
+        The feed for followers.
     merge_report : callable
-        Takes the Profile of a follower's answers.
+        Called with the Profile of a follower's observations.
     is_confirmed : callable
-        Tells whether this node has been told by others; one that starts does not pass
-        on what it has only read.
+        Returns whether other nodes have confirmed the directory; a starting node does
+        not send content that it has only read from the store.
     """
 
     def __init__(
@@ -92,21 +92,21 @@
         return self._send_snapshot(environ, start_response)
 
     def _send_snapshot(self, environ, start_response):
-        """Answer with all that is held here, if any of it is more."""
+        """Respond with the directory if it is newer than the client's state."""
         if not self.is_confirmed():
             start_response("503 Service Unavailable", [])
             return [b""]
-        asked, own = parse_known_state(
+        known, own = parse_known_state(
             environ.get("QUERY_STRING", "")
         ), build_known_state(self.directory)
-        if own.position <= asked.position and own.version <= asked.version:
+        if own.position <= known.position and own.version <= known.version:
             start_response("204 No Content", [])
             return [b""]
         start_response("200 OK", BINARY_HEADERS)
         return [encode(self.directory.build_snapshot())]
 
     def _open_stream(self, environ, start_response):
-        """Answer with frames that go on until the feed closes."""
+        """Respond with a stream of frames that ends when the feed closes."""
         subscription = self.feed.subscribe()
         if subscription is None:
             start_response("503 Service Unavailable", [])
@@ -116,7 +116,7 @@
         return subscription
 
     def _receive_report(self, environ, start_response):
-        """Take a follower's report."""
+        """Merge a follower's report of observations."""
         length = environ.get("CONTENT_LENGTH") or ""
         if not length.isdigit() or int(length) > MAX_REPORT_BYTES:
             start_response("413 Content Too Large", [])
@@ -133,13 +133,13 @@
 
 
 def build_known_state(content):
-    """Return how far a Directory or a Snapshot leads."""
+    """Return the KnownState of a Directory or a Snapshot."""
     declared = content.declared
     return KnownState(content.position, declared.version if declared else 0)
 
 
 def parse_known_state(query):
-    """Return the Known of a query; the least if it names none."""
+    """Return the KnownState of a query string; missing or invalid values are zero."""
     values = {name: texts[0] for name, texts in parse_qs(query).items()}
     version = values.get("version", "")
     position = parse_position(values.get("after", ""))
@@ -147,16 +147,16 @@
 
 
 class PeerClient:
-    """Asks other nodes.
+    """Queries other nodes for newer content.
 
     Parameters
     ----------
     name : str
-        The node's own, which is not asked.
+        The node's own name; it does not query itself.
     data_centre : str
-        Nodes there are asked as often as all others together.
+        The node's own data centre, to which at least half of the queries go.
     rng : random.Random
-        Chooses whom to ask.
+        Chooses the nodes to query.
     """
 
     def __init__(self, name, data_centre, rng=None):
@@ -165,7 +165,7 @@
         self.rng = rng or random.Random()
 
     def fetch_newer(self, directory):
-        """Return a node's Snapshot if it holds more, else None."""
+        """Return the Snapshot of a random node if it is newer, else None."""
         node = self._choose(directory.nodes)
         answer = (
             None
@@ -175,29 +175,31 @@
         return None if isinstance(answer, UpToDate) else answer
 
     def fetch_newer_at_start(self, read):
-        """Return what other nodes hold beyond what a node has read as it starts.
+        """Return newer content of other nodes for a starting node.
 
         Parameters
         ----------
         read : Snapshot
-            It may be seconds old, or from a copy of the store that is.
+            The node's first read, which may be stale or from an older copy of the
+            store.
 
         Returns
         -------
         list of Snapshot
-            One at most; none if a node that is sure has no more, or none answered.
+            One at most; empty if a node with a confirmed directory has nothing newer,
+            or if no such node answered.
         """
         others = [node for node in read.nodes.values() if node.name != self.name]
         self.rng.shuffle(others)
         for begin in range(0, MAX_QUERY_ROUNDS * QUERIES_PER_ROUND, QUERIES_PER_ROUND):
-            asked = others[begin : begin + QUERIES_PER_ROUND]
-            answer = self._query_concurrently(asked, build_known_state(read))
+            batch = others[begin : begin + QUERIES_PER_ROUND]
+            answer = self._query_concurrently(batch, build_known_state(read))
             if answer is not None:
                 return [] if isinstance(answer, UpToDate) else [answer]
         return []
 
     def _query_concurrently(self, nodes, known):
-        """Return the first answer of a node that is sure, or None."""
+        """Return the first answer of a node with a confirmed directory, or None."""
         answers = LightQueue()
         threads = [
             eventlet.spawn(lambda node=node: answers.put(self._query_node(node, known)))
@@ -217,7 +219,7 @@
         return None
 
     def _query_node(self, node, known):
-        """Return a node's Snapshot, UpToDate, or None if it told nothing."""
+        """Return a node's Snapshot, UpToDate, or None if it sent neither."""
         connection = EndpointConnection(node.address)
         try:
             return self._call(connection, known)
@@ -229,9 +231,9 @@
 
     def _choose(self, nodes):
         others = [node for node in nodes.values() if node.name != self.name]
-        near = [node for node in others if node.data_centre == self.data_centre]
-        if near and self.rng.random() < 0.5:
-            others = near
+        local = [node for node in others if node.data_centre == self.data_centre]
+        if local and self.rng.random() < 0.5:
+            others = local
         return self.rng.choice(others) if others else None
 
     def _call(self, connection, known):
--- a/packages/hingesill-node/hingesill_node/discovery/profiles.py
+++ b/packages/hingesill-node/hingesill_node/discovery/profiles.py
@@ -1,4 +1,4 @@
-"""Keeps what nodes have learnt in the store, for nodes that start."""
+"""Saves the nodes' observations of services in the store, for starting nodes."""
 
 import random
 import time
@@ -13,32 +13,33 @@
 
 __all__ = ["ProfileStore"]
 
-# How often it is looked at whether there is something to keep; this costs no call.
+# Interval of checks for unpublished observations; a check makes no call to the store.
 REVIEW_SECONDS = 1.0
-# Between two writes of one node. Each write wakes all relays, and few are worth it once
-# the levels are known; a fleet that started with nothing needs them within a burst.
+# Minimum time between two writes of one node, as each write wakes all relays. Few
+# writes are needed once the concurrency levels are known, but a fleet that started
+# without observations needs them within a burst.
 MIN_WRITE_INTERVAL_SECONDS = 1.5
 
 
 class ProfileStore:
-    """Writes the profile when this node has learnt more.
+    """Writes the profile when this node has enough unpublished observations.
 
     Notes
     -----
-    A node that starts with nothing fills endpoints beyond the level at which they
-    slow down until it has learnt better; when all start at once, that is when a
-    backlog of callers returns.
+    A node that starts without observations loads endpoints beyond the concurrency
+    level at which they slow down, until it has made its own. If all nodes start at
+    once, a backlog of callers returns at that time.
 
     Parameters
     ----------
     source : DirectorySource
         The store.
     directory : Directory
-        Holds what was kept last.
+        Holds the profile that was saved last.
     runners : RunnerTable
-        The services with what is known of them at this node.
+        The services with this node's observations.
     may_write : callable
-        Tells whether this node keeps the profile; a few nodes suffice.
+        Returns whether this node writes the profile; a few nodes suffice.
     clock : callable
         Monotonic seconds.
     """
@@ -52,38 +53,39 @@
         self._next_write_at = float("-inf")
 
     def run(self):
-        """Work until the process ends."""
+        """Review observations repeatedly until the process ends."""
         while True:
             eventlet.sleep(REVIEW_SECONDS * random.uniform(0.7, 1.3))
             if self.is_due():
                 self.review()
 
     def is_due(self):
-        """Tell whether this node may write now."""
+        """Return whether this node may write now."""
         return self.may_write() and self.clock() >= self._next_write_at
 
     def review(self):
-        """Write the profile if this node has learnt enough that others don't know."""
-        news = self.runners.list_unpublished()
-        if not news:
+        """Write the profile if this node has enough unpublished observations."""
+        unpublished = self.runners.list_unpublished()
+        if not unpublished:
             return
         self._next_write_at = self.clock() + MIN_WRITE_INTERVAL_SECONDS
-        learnt = self.runners.build_profiles(news)
-        answer = self.source.save(Profile({**self._list_stored(), **learnt}))
+        profiles = self.runners.build_profiles(unpublished)
+        answer = self.source.save(Profile({**self._list_stored(), **profiles}))
         if isinstance(answer, StoreFailure):
             log_event(Event.PROFILE_NOT_KEPT, detail=answer.reason)
             return
-        self.runners.mark_published(learnt)
+        self.runners.mark_published(profiles)
         log_event(
             Event.PROFILE_KEPT,
             usable_slots={
-                name: compute_concurrency_limits(learnt[name].levels) for name in news
+                name: compute_concurrency_limits(profiles[name].levels)
+                for name in unpublished
             },
-            levels={name: describe_levels(learnt[name]) for name in news},
+            levels={name: describe_levels(profiles[name]) for name in unpublished},
         )
 
     def _list_stored(self):
-        """Return what is kept of the services that are declared, by name."""
+        """Return the stored profiles of declared services by name."""
         declared = self.directory.declared
         names = {service.name for service in declared.services} if declared else set()
         held = self.directory.profile or Profile()
@@ -91,8 +93,8 @@
 
 
 def describe_levels(profile):
-    """Return each level with its answers and how many times longer they take."""
+    """Return each level with its responses and their latency relative to baseline."""
     return [
-        f"{told.level}/{told.slots} {told.answers:.0f} x{exp(told.mean):.2f}"
-        for told in profile.levels
+        f"{entry.level}/{entry.slots} {entry.answers:.0f} x{exp(entry.mean):.2f}"
+        for entry in profile.levels
     ]
--- a/packages/hingesill-node/hingesill_node/discovery/publisheddirectory.py
+++ b/packages/hingesill-node/hingesill_node/discovery/publisheddirectory.py
@@ -1,4 +1,4 @@
-"""What one node holds of the store, published and told on."""
+"""A node's directory, published within the node and to its followers."""
 
 import eventlet
 
@@ -11,7 +11,7 @@
 
 
 class PublishedDirectory:
-    """Holds what the store, a relay or another node told, and publishes it.
+    """Applies updates of the store, a relay or another node, and publishes them.
 
     Parameters
     ----------
@@ -20,14 +20,14 @@
     clock : callable
         Monotonic seconds.
     counters : Counters or None
-        Gets ``store_restores``.
+        Counters, of which ``store_restores`` is increased.
 
     Attributes
     ----------
     directory : Directory
-        What is held.
+        The directory.
     feed : Feed
-        Tells it to this node's followers.
+        Feed for this node's followers.
     """
 
     def __init__(self, publish, clock, counters=None):
@@ -39,14 +39,14 @@
         self._published = 0
 
     def apply(self, method, content):
-        """Let the directory take a Snapshot or Changes; return whether it did.
+        """Apply a Snapshot or Changes to the directory; return the method's result.
 
         Parameters
         ----------
-        take : callable
-            The directory's method for it.
+        method : callable
+            The directory's method for the content.
         content : Snapshot or Changes
-            What was told.
+            The received content.
         """
         held = self.directory.position
         is_restored = self.directory.is_from_later_era(content.position)
@@ -67,14 +67,14 @@
         )
 
     def publish_changes(self):
-        """Publish the directory if it has changed; watch what is in doubt."""
+        """Publish the directory if it has changed; schedule deferred updates."""
         if self.directory.generation != self._published:
             self._published = self.directory.generation
             self.publish(self.directory)
             self.feed.publish()
-        expiry = self.directory.get_next_due_time()
-        if expiry is not None:
-            delay = max(0.0, expiry - self.clock())
+        due_time = self.directory.get_next_due_time()
+        if due_time is not None:
+            delay = max(0.0, due_time - self.clock())
             eventlet.spawn_after(delay, self._apply_due_updates)
 
     def _apply_due_updates(self):
--- a/packages/hingesill-node/hingesill_node/discovery/registration.py
+++ b/packages/hingesill-node/hingesill_node/discovery/registration.py
@@ -1,4 +1,4 @@
-"""Keeps this node's own entry in the store, by lease."""
+"""Registration of this node in the store under a lease."""
 
 import random
 import time
@@ -10,40 +10,41 @@
 
 __all__ = ["Registration"]
 
-# Time to live of the entry's lease, in seconds. It outlasts an outage and a restart of
-# the process; a node that ended for good is counted until it runs out.
+# Time to live of the entry's lease. It outlasts an outage of the store and a restart of
+# the process; a node that stopped permanently is counted until its lease ends.
 LEASE_SECONDS = 120.0
 RENEW_SECONDS = 30.0
 RETRY_SECONDS = 2.0
-# How often it is looked at whether the entry is still there; this costs no call.
+# Interval of checks whether the entry is listed; a check makes no call to the store.
 ENTRY_CHECK_SECONDS = 1.0
-# Time until a new entry is in the directory, in seconds.
+# Time within which a new entry is listed in the directory, in seconds.
 MAX_LISTING_SECONDS = 4.0
 
 
 class Registration:
-    """Enters the node and renews its lease.
+    """Registers the node and renews its lease.
 
     Parameters
     ----------
     source : DirectorySource
         The store.
     node : NodeRecord
-        The entry.
+        The node's entry.
     is_listed : callable
-        Tells whether the directory holds an entry. One of the process that ran
-        here before may take the entry with it when its lease ends.
+        Returns whether the directory lists an entry. The entry may be removed when the
+        lease of a previous process on this VM ends.
     is_store_up : callable
-        Tells whether the store answered when it was last called; while it does not,
-        an entry is neither made nor renewed. A lease of 120 s bears that, and a node
-        that starts within an outage does not call again every two seconds.
+        Returns whether the store answered the last call. While it does not, the entry
+        is neither made nor renewed: a lease of 120 s outlasts the pause, and a node
+        that starts during an outage does not call the store every two seconds.
     get_era : callable
-        Returns the store's era, as far as is known. A lease of an earlier one may be
-        another node's now; it is not used again. If the entry is listed its lease is
-        asked for when it is time to renew it, else the node enters itself anew.
+        Returns the store's era, as far as is known. The ID of a lease of an earlier era
+        may have been assigned to another node, so the lease is not used again. If the
+        entry is listed, its lease is looked up when the renewal is due, else the node
+        registers again.
     get_registration_spread_seconds : callable
-        Returns the seconds over which all nodes spread that, so that they stay within
-        the store's writes.
+        Returns the seconds over which all nodes spread these registrations, to stay
+        within the store's write rate.
     clock : callable
         Monotonic seconds.
     """
@@ -72,24 +73,24 @@
         self.registered_at = float("-inf")
 
     def run(self):
-        """Work until the process ends."""
+        """Keep the node registered until the process ends."""
         while True:
             if self._is_due():
                 self._step()
             eventlet.sleep(self._get_pause())
 
     def _get_pause(self):
-        """Return the seconds until it is looked at again whether a call is due."""
-        look = ENTRY_CHECK_SECONDS * random.uniform(0.7, 1.3)
+        """Return the seconds until the next check whether a call is due."""
+        interval = ENTRY_CHECK_SECONDS * random.uniform(0.7, 1.3)
         until_call = self.next_call_at - self.clock()
-        return until_call if 0 < until_call < look else look
+        return until_call if 0 < until_call < interval else interval
 
     def _resume(self):
-        """Go on with the entry of the process that ran here before.
+        """Resume the entry of a previous process on this VM.
 
         Returns
         -------
-        Held, LeaseLost or StoreFailure
+        LeaseGranted, LeaseLost or StoreFailure
         """
         answer = self.source.resume(self.node)
         self._can_resume = isinstance(answer, StoreFailure)
@@ -98,7 +99,7 @@
         return answer
 
     def _is_due(self):
-        """Tell whether the store is to be called: to enter, renew or try again."""
+        """Return whether a call to the store is due: to register, renew or retry."""
         if not self.is_store_up():
             return False
         self._check_era()
@@ -108,10 +109,10 @@
         return now >= self.next_call_at
 
     def _check_era(self):
-        """Give the lease up if the store has come back from an older copy since."""
+        """Drop the lease if the store has been restored from an older copy."""
         era, known = self.get_era(), self._era
         self._era = max(era, known)
-        # The first era that is known is no restore.
+        # The first known era is not a restore.
         if not 0 < known < era:
             return
         self.lease = None
@@ -122,7 +123,7 @@
         log_event(Event.NODE_LEASE_DROPPED, era=era, listed=self._can_resume)
 
     def _record_answer(self, answer):
-        """Take the store's answer, and set when to call it again."""
+        """Record the store's answer, and set the time of the next call."""
         was_held = self.lease is not None
         if isinstance(answer, LeaseGranted):
             self.lease = answer.lease
@@ -135,7 +136,7 @@
             log_event(event, detail=str(answer))
 
     def _step(self):
-        """Resume, enter or renew."""
+        """Resume, register or renew."""
         if self._can_resume:
             answer = self._resume()
             if not isinstance(answer, LeaseLost):
--- a/packages/hingesill-node/hingesill_node/discovery/relayclient.py
+++ b/packages/hingesill-node/hingesill_node/discovery/relayclient.py
@@ -1,4 +1,4 @@
-"""A follower's side: the stream of a relay."""
+"""Client for the change feed of a relay."""
 
 from hingesill_node.datapath.connections import ConnectFailed, EndpointConnection
 from hingesill_node.datapath.transport import TRANSPORT_ERRORS
@@ -7,24 +7,24 @@
 __all__ = ["FEED_PATH", "RelayClient", "RelayLost"]
 
 FEED_PATH = "/directory/feed"
-# A relay answers at once; one that is frozen takes the connection and says
-# nothing more.
+# A relay answers at once; a frozen relay accepts the connection but does not respond.
 RESPONSE_TIMEOUT_SECONDS = 0.3
-# Heartbeats come every 0.4 s; after three that are missing the relay is given up.
-# A change must be in force within 2 s, so the rest is for asking elsewhere.
+# Heartbeats are sent every 0.4 s; after three missing ones the relay is abandoned. A
+# change must be in force within 2 s, and the remaining time is for another source.
 STREAM_TIMEOUT_SECONDS = 1.2
 OK = 200
 
 
 class RelayLost(Exception):
-    """A relay did not take this node, fell silent or ended its stream.
+    """A relay refused this node, stopped sending, or ended its stream.
 
     Parameters
     ----------
     reason : str
-        For logs.
-    lives : bool
-        It said so itself, so it has lost the store and will follow it again.
+        The reason, for logs.
+    is_alive : bool
+        The relay refused or ended the stream itself, so it has lost the store and will
+        follow it again.
     """
 
     def __init__(self, reason, is_alive=False):
@@ -36,17 +36,17 @@
     """Reads the streams of relays, one at a time."""
 
     def follow(self, relay):
-        """Yield the Frames of a relay as they come, without an end.
+        """Yield the Frames of a relay as they arrive, without end.
 
         Parameters
         ----------
         relay : NodeRecord
-            Whom to follow.
+            The relay to follow.
 
         Raises
         ------
         RelayLost
-            Once the relay fails in any way.
+            When the relay fails in any way.
         """
         connection = EndpointConnection(relay.address)
         try:
--- a/packages/hingesill-node/hingesill_node/discovery/reports.py
+++ b/packages/hingesill-node/hingesill_node/discovery/reports.py
@@ -1,4 +1,4 @@
-"""What a follower reports to its relay: what its answers told of endpoints' slots."""
+"""Reports of a follower's observations of endpoints to its relay."""
 
 import random
 import time
@@ -13,35 +13,36 @@
 __all__ = ["MAX_REPORT_BYTES", "REPORT_PATH", "Reporter"]
 
 REPORT_PATH = "/directory/news"
-# Of services of which the fleet does not know enough: one that starts with nothing
-# learns what is usual in one round and the levels in the next, and a burst may come at
-# once.
+# Interval of reports on services of which the fleet has too few observations. A fleet
+# without any learns baseline latencies in one round and concurrency levels in the next,
+# and a burst may come at once.
 URGENT_REPORT_SECONDS = 1.5
-# Of all services; what changes is known some 10 s later.
+# Interval of reports on all services; changes are known to the fleet some 10 s later.
 FULL_REPORT_SECONDS = 8.0
-# A relay answers at once.
+# A relay responds at once.
 RESPONSE_TIMEOUT_SECONDS = 0.5
-# Bytes; a guard of the relay's memory, enough for hundreds of services.
+# Bounds the relay's memory; enough for hundreds of services.
 MAX_REPORT_BYTES = 256 * 1024
 MAX_RESPONSE_BYTES = 1024
 NO_CONTENT = 204
 
 
 class Reporter:
-    """Reports to the relay that this node follows, as long as it follows one.
+    """Sends reports to the relay that this node follows, if there is one.
 
     Parameters
     ----------
     find_relay : callable
-        Returns the NodeRecord of the relay that is followed, or None.
+        Returns the NodeRecord of the followed relay, or None.
     runners : RunnerTable
-        Has what was learnt here.
+        Holds this node's observations.
     clock : callable
         Monotonic seconds.
 
     Notes
     -----
-    A report that is lost costs some answers of evidence; the next one has newer ones.
+    A lost report loses the observations of some responses; the next report has newer
+    ones.
     """
 
     def __init__(self, find_relay, runners, clock=time.monotonic):
@@ -51,13 +52,13 @@
         self._next_full_report_at = clock() + FULL_REPORT_SECONDS
 
     def run(self):
-        """Work until the process ends."""
+        """Report repeatedly until the process ends."""
         while True:
             eventlet.sleep(URGENT_REPORT_SECONDS * random.uniform(0.7, 1.3))
             self.report()
 
     def report(self):
-        """Send what is new, if there is a relay to tell it."""
+        """Send unreported observations, if a relay is followed."""
         relay = self.find_relay()
         if relay is None:
             return
@@ -79,7 +80,7 @@
 
 
 def post(connection, body):
-    """Send a report on a new connection; return the status of the answer."""
+    """Send a report on a new connection; return the response's status."""
     connection.open()
     connection.set_time_limit(RESPONSE_TIMEOUT_SECONDS)
     connection.collect()
