--- a/packages/hingesill-node/hingesill_node/discovery/codec.py
+++ b/packages/hingesill-node/hingesill_node/discovery/codec.py
@@ -1,4 +1,4 @@
-"""Directories and their changes as bytes, for other nodes."""
+"""Encodes directories and their changes for other nodes."""
 
 import zlib
 
@@ -10,44 +10,44 @@
 
 __all__ = ["decode_changes", "decode_profile", "decode_snapshot", "encode"]
 
-# Of zlib: what goes to many nodes is encoded once, and links may be narrow.
-COMPRESSION = 6
+# Level of zlib. Content for many nodes is encoded once, and bandwidth may be low.
+COMPRESSION_LEVEL = 6
 
-SNAPSHOTS = Decoder(Snapshot)
-CHANGES = Decoder(Changes)
-PROFILES = Decoder(Profile)
+SNAPSHOT_DECODER = Decoder(Snapshot)
+CHANGES_DECODER = Decoder(Changes)
+PROFILE_DECODER = Decoder(Profile)
 
 
 def encode(content):
     """Return a Snapshot, Changes or Profile as compressed JSON."""
-    return zlib.compress(encode_json(content), COMPRESSION)
+    return zlib.compress(encode_json(content), COMPRESSION_LEVEL)
 
 
 def decode_snapshot(encoded):
-    """Return the Snapshot that bytes hold.
+    """Return the Snapshot encoded in bytes.
 
     Raises
     ------
     ValueError
-        If they hold none.
+        If the bytes are not a valid Snapshot.
     """
-    return decode(encoded, SNAPSHOTS)
+    return decode(encoded, SNAPSHOT_DECODER)
 
 
 def decode_changes(encoded):
-    """Return the Changes that bytes hold; ValueError if they hold none."""
-    return decode(encoded, CHANGES)
+    """Return the Changes encoded in bytes; raise ValueError if they are invalid."""
+    return decode(encoded, CHANGES_DECODER)
 
 
 def decode_profile(encoded):
-    """Return the Profile that bytes hold; ValueError if they hold none."""
-    return decode(encoded, PROFILES)
+    """Return the Profile encoded in bytes; raise ValueError if it is invalid."""
+    return decode(encoded, PROFILE_DECODER)
 
 
 def decode(encoded, decoder):
-    """Return the content of one kind; ValueError if there is none."""
+    """Return the decoded content; raise ValueError if it is invalid."""
     try:
         return decoder.decode(zlib.decompress(encoded))
     except (zlib.error, DecodeError, RecursionError) as error:
         name = decoder.type.__name__.lower()
-        raise ValueError(f"not a {name}: {error}") from error
+        raise ValueError(f"invalid {name}: {error}") from error
--- a/packages/hingesill-node/hingesill_node/discovery/feed.py
+++ b/packages/hingesill-node/hingesill_node/discovery/feed.py
@@ -1,4 +1,4 @@
-"""A relay's side of following: what it tells each of its followers."""
+"""The change feed that a relay streams to its followers."""
 
 import time
 
@@ -11,27 +11,27 @@
 
 __all__ = ["Feed", "Subscription"]
 
-# Frames that a follower may lag behind: half a minute of heartbeats.
-MOST_WAITING = 64
-# Streams that one relay serves, as a guard of its memory; four times what a
-# relay gets by the choice of relays.
-MOST_FOLLOWERS = 320
+# Frames queued for a follower that lags behind: half a minute of heartbeats.
+MAX_QUEUED_FRAMES = 64
+# Followers of one relay, to bound its memory; four times the number that the selection
+# of relays gives it.
+MAX_FOLLOWERS = 320
 
 
 class Subscription:
-    """The answer to one follower: an iterable of frames that ends with the feed.
+    """The response to one follower: an iterable of frames that ends with the feed.
 
     Parameters
     ----------
     feed : Feed
-        Left when the server closes the answer.
+        The feed, which drops the subscription when the server closes the response.
     first : bytes
-        The frame that tells everything.
+        The frame with the complete directory.
     """
 
     def __init__(self, feed, first):
         self._feed = feed
-        self._queue = LightQueue(MOST_WAITING)
+        self._queue = LightQueue(MAX_QUEUED_FRAMES)
         self._queue.put_nowait(first)
         self._ended = False
 
@@ -47,25 +47,25 @@
         return frame
 
     def put(self, frame):
-        """Add a frame, None for the end; one that lags too far is ended."""
+        """Queue a frame, None for the end; close the response if the queue is full."""
         try:
             self._queue.put_nowait(frame)
         except Full:
             self.close()
 
     def close(self):
-        """End the answer; the server calls it too."""
+        """End the response; the server calls it too."""
         self._ended = True
-        self._feed.leave(self)
+        self._feed.remove(self)
 
 
 class Feed:
-    """Tells followers what this node holds, while it follows the store itself.
+    """Streams this node's directory to followers while it is in sync with the store.
 
     Parameters
     ----------
     directory : Directory
-        What is told.
+        The published directory.
     clock : callable
         Monotonic seconds.
     """
@@ -75,23 +75,23 @@
         self.clock = clock
         self.is_open = False
         self._ended = False
-        # A dict, so that all are told in the order in which they came.
+        # A dict, so that followers are served in the order of subscription.
         self._followers = {}
-        self._told = None
+        self._last_published = None
 
     @property
     def followers(self):
-        """How many nodes are told."""
+        """Number of followers."""
         return len(self._followers)
 
     def open(self):
-        """Take followers from now on: the directory is what the store holds."""
+        """Accept followers, as the directory is in sync with the store."""
         if not self.is_open and not self._ended:
             self.is_open = True
             log_event(Event.FEED_OPENED, position=str(self.directory.position))
 
     def close(self, reason):
-        """End all streams; their readers turn to another relay at once."""
+        """End all streams; their readers switch to another relay at once."""
         if not self.is_open:
             return
         self.is_open = False
@@ -100,37 +100,37 @@
             follower.put(None)
         self._followers.clear()
 
-    def end(self, reason):
-        """Close for good."""
+    def shut_down(self, reason):
+        """Close the feed permanently."""
         self._ended = True
         self.close(reason)
 
     def subscribe(self):
-        """Return the Subscription of a new follower, or None if it is not taken."""
-        if not self.is_open or self.followers >= MOST_FOLLOWERS:
+        """Return the Subscription of a new follower, or None if it is refused."""
+        if not self.is_open or self.followers >= MAX_FOLLOWERS:
             return None
         snapshot = self.directory.build_snapshot()
         if not self._followers:
-            self._told = snapshot
+            self._last_published = snapshot
         subscription = Subscription(self, self._build(FrameKind.WHOLE, snapshot))
         self._followers[subscription] = None
         return subscription
 
-    def leave(self, subscription):
-        """Forget a follower."""
+    def remove(self, subscription):
+        """Remove a follower's subscription."""
         self._followers.pop(subscription, None)
 
-    def tell(self):
-        """Tell all followers what has changed."""
+    def publish(self):
+        """Send the changes since the last call to all followers."""
         if not self._followers:
             return
         snapshot = self.directory.build_snapshot()
-        changes = find_changes(self._told, snapshot)
-        self._told = snapshot
+        changes = find_changes(self._last_published, snapshot)
+        self._last_published = snapshot
         self._send(self._build(FrameKind.CHANGES, changes))
 
-    def beat(self):
-        """Tell all followers that nothing else has changed."""
+    def send_heartbeat(self):
+        """Send a heartbeat to all followers."""
         if self._followers:
             self._send(self._build(FrameKind.HEARTBEAT))
 
--- a/packages/hingesill-node/hingesill_node/discovery/peers.py
+++ b/packages/hingesill-node/hingesill_node/discovery/peers.py
@@ -1,4 +1,4 @@
-"""Nodes that tell each other what they hold: at their start, and without the store."""
+"""Exchange of directories between nodes, at their start and in outages of the store."""
 
 import random
 from urllib.parse import parse_qs, urlencode
@@ -15,106 +15,110 @@
 from hingesill_node.datapath.transport import TRANSPORT_ERRORS
 from hingesill_node.discovery.codec import decode_profile, decode_snapshot, encode
 from hingesill_node.discovery.relayclient import FEED_PATH
-from hingesill_node.discovery.reports import LARGEST_REPORT, NEWS_PATH
+from hingesill_node.discovery.reports import MAX_REPORT_BYTES, REPORT_PATH
 from hingesill_node.telemetry.events import Event, log_event
 
 __all__ = ["PeerApplication", "PeerClient"]
 
-PATH = "/directory"
-ANSWER_SECONDS = 0.5
-LARGEST_ANSWER = 4 * 1024 * 1024
-BINARY = [("Content-Type", "application/octet-stream")]
-# Nodes that a starting node queries at a time, and rounds: most nodes may have started
-# at one moment and not be sure of what they hold.
-ASKED_TOGETHER = 4
-MOST_ROUNDS = 2
-# Of one round. A node that lives answers within some milliseconds; dark ones are not
-# waited for longer, since callers are.
-ROUND_SECONDS = 0.25
+DIRECTORY_PATH = "/directory"
+RESPONSE_TIMEOUT_SECONDS = 0.5
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
+BINARY_HEADERS = [("Content-Type", "application/octet-stream")]
+# Nodes that a starting node queries at a time, and its rounds. Most nodes may have
+# started at the same time, with directories that are not confirmed yet.
+QUERIES_PER_ROUND = 4
+MAX_QUERY_ROUNDS = 2
+# A running node answers within milliseconds. Unreachable nodes must not delay the start
+# further, since callers are waiting.
+ROUND_TIMEOUT_SECONDS = 0.25
 
 
-class Known(Struct, frozen=True):
-    """How far a node knows: what it need not be told.
+class KnownState(Struct, frozen=True):
+    """State that a node has, so that only newer content is sent to it.
 
     Parameters
     ----------
     position : Position
-        Of the store, the latest that it holds.
+        The latest position of the store that the node knows.
     version : int
-        Of the declaration that it holds; 0 without one.
+        Version of its declaration; 0 without one.
     """
 
     position: Position = Position()
     version: int = 0
 
 
-class NothingMore(Struct, frozen=True):
-    """A node that is sure of what it holds has nothing to add."""
+class UpToDate(Struct, frozen=True):
+    """The answer of a node with a confirmed directory that has nothing newer."""
 
 
 class PeerApplication:
-    """A WSGI application that tells what this node holds.
+    """A WSGI application that serves this node's directory to other nodes.
 
     Parameters
     ----------
     directory : Directory
-        What it holds.
+        The node's directory.
     feed : Feed
-        Its streams to followers.
+        The feed for followers.
     merge_report : callable
-        Takes the Profile of a follower's answers.
-    is_sure : callable
-        Tells whether this node has been told by others; one that starts does not pass
-        on what it has only read.
+        Called with the Profile of a follower's observations.
+    is_confirmed : callable
+        Returns whether other nodes have confirmed the directory; a starting node does
+        not send content that it has only read from the store.
     """
 
     def __init__(
-        self, directory, feed, merge_report=lambda profile: None, is_sure=lambda: True
+        self,
+        directory,
+        feed,
+        merge_report=lambda profile: None,
+        is_confirmed=lambda: True,
     ):
         self.directory = directory
         self.feed = feed
         self.merge_report = merge_report
-        self.is_sure = is_sure
+        self.is_confirmed = is_confirmed
 
     def __call__(self, environ, start_response):
         """Answer one request; see PEP 3333."""
         if environ["PATH_INFO"] == FEED_PATH:
-            return self._follow(environ, start_response)
-        if environ["PATH_INFO"] == NEWS_PATH:
-            return self._take_news(environ, start_response)
-        if environ["PATH_INFO"] != PATH:
+            return self._open_stream(environ, start_response)
+        if environ["PATH_INFO"] == REPORT_PATH:
+            return self._receive_report(environ, start_response)
+        if environ["PATH_INFO"] != DIRECTORY_PATH:
             start_response("404 Not Found", [])
             return [b""]
-        return self._tell(environ, start_response)
+        return self._send_snapshot(environ, start_response)
 
-    def _tell(self, environ, start_response):
-        """Answer with all that is held here, if any of it is more."""
-        if not self.is_sure():
+    def _send_snapshot(self, environ, start_response):
+        """Respond with the directory if it is newer than the client's state."""
+        if not self.is_confirmed():
             start_response("503 Service Unavailable", [])
             return [b""]
-        asked, own = read_known(environ.get("QUERY_STRING", "")), find_known(
-            self.directory
-        )
-        if own.position <= asked.position and own.version <= asked.version:
+        known, own = parse_known_state(
+            environ.get("QUERY_STRING", "")
+        ), build_known_state(self.directory)
+        if own.position <= known.position and own.version <= known.version:
             start_response("204 No Content", [])
             return [b""]
-        start_response("200 OK", BINARY)
+        start_response("200 OK", BINARY_HEADERS)
         return [encode(self.directory.build_snapshot())]
 
-    def _follow(self, environ, start_response):
-        """Answer with frames that go on until the feed closes."""
+    def _open_stream(self, environ, start_response):
+        """Respond with a stream of frames that ends when the feed closes."""
         subscription = self.feed.subscribe()
         if subscription is None:
             start_response("503 Service Unavailable", [])
             return [b""]
         environ["eventlet.minimum_write_chunk_size"] = 1
-        start_response("200 OK", BINARY)
+        start_response("200 OK", BINARY_HEADERS)
         return subscription
 
-    def _take_news(self, environ, start_response):
-        """Take a follower's report."""
+    def _receive_report(self, environ, start_response):
+        """Merge a follower's report of observations."""
         length = environ.get("CONTENT_LENGTH") or ""
-        if not length.isdigit() or int(length) > LARGEST_REPORT:
+        if not length.isdigit() or int(length) > MAX_REPORT_BYTES:
             start_response("413 Content Too Large", [])
             return [b""]
         try:
@@ -128,31 +132,31 @@
         return [b""]
 
 
-def find_known(content):
-    """Return how far a Directory or a Snapshot leads."""
+def build_known_state(content):
+    """Return the KnownState of a Directory or a Snapshot."""
     declared = content.declared
-    return Known(content.position, declared.version if declared else 0)
+    return KnownState(content.position, declared.version if declared else 0)
 
 
-def read_known(query):
-    """Return the Known of a query; the least if it names none."""
+def parse_known_state(query):
+    """Return the KnownState of a query string; missing or invalid values are zero."""
     values = {name: texts[0] for name, texts in parse_qs(query).items()}
     version = values.get("version", "")
     position = parse_position(values.get("after", ""))
-    return Known(position, int(version) if version.isdecimal() else 0)
+    return KnownState(position, int(version) if version.isdecimal() else 0)
 
 
 class PeerClient:
-    """Asks other nodes.
+    """Queries other nodes for newer content.
 
     Parameters
     ----------
     name : str
-        The node's own, which is not asked.
+        The node's own name; it does not query itself.
     data_centre : str
-        Nodes there are asked as often as all others together.
+        The node's own data centre, to which at least half of the queries go.
     rng : random.Random
-        Chooses whom to ask.
+        Chooses the nodes to query.
     """
 
     def __init__(self, name, data_centre, rng=None):
@@ -160,43 +164,49 @@
         self.data_centre = data_centre
         self.rng = rng or random.Random()
 
-    def ask(self, directory):
-        """Return a node's Snapshot if it holds more, else None."""
+    def fetch_newer(self, directory):
+        """Return the Snapshot of a random node if it is newer, else None."""
         node = self._choose(directory.nodes)
-        answer = None if node is None else self._ask(node, find_known(directory))
-        return None if isinstance(answer, NothingMore) else answer
+        answer = (
+            None
+            if node is None
+            else self._query_node(node, build_known_state(directory))
+        )
+        return None if isinstance(answer, UpToDate) else answer
 
-    def ask_before_start(self, read):
-        """Return what other nodes hold beyond what a node has read as it starts.
+    def fetch_newer_at_start(self, read):
+        """Return newer content of other nodes for a starting node.
 
         Parameters
         ----------
         read : Snapshot
-            It may be seconds old, or from a copy of the store that is.
+            The node's first read, which may be stale or from an older copy of the
+            store.
 
         Returns
         -------
         list of Snapshot
-            One at most; none if a node that is sure has no more, or none answered.
+            One at most; empty if a node with a confirmed directory has nothing newer,
+            or if no such node answered.
         """
         others = [node for node in read.nodes.values() if node.name != self.name]
         self.rng.shuffle(others)
-        for begin in range(0, MOST_ROUNDS * ASKED_TOGETHER, ASKED_TOGETHER):
-            asked = others[begin : begin + ASKED_TOGETHER]
-            answer = self._ask_together(asked, find_known(read))
+        for begin in range(0, MAX_QUERY_ROUNDS * QUERIES_PER_ROUND, QUERIES_PER_ROUND):
+            batch = others[begin : begin + QUERIES_PER_ROUND]
+            answer = self._query_concurrently(batch, build_known_state(read))
             if answer is not None:
-                return [] if isinstance(answer, NothingMore) else [answer]
+                return [] if isinstance(answer, UpToDate) else [answer]
         return []
 
-    def _ask_together(self, nodes, known):
-        """Return the first answer of a node that is sure, or None."""
+    def _query_concurrently(self, nodes, known):
+        """Return the first answer of a node with a confirmed directory, or None."""
         answers = LightQueue()
         threads = [
-            eventlet.spawn(lambda node=node: answers.put(self._ask(node, known)))
+            eventlet.spawn(lambda node=node: answers.put(self._query_node(node, known)))
             for node in nodes
         ]
         try:
-            with eventlet.Timeout(ROUND_SECONDS, Empty):
+            with eventlet.Timeout(ROUND_TIMEOUT_SECONDS, Empty):
                 for _ in nodes:
                     answer = answers.get()
                     if answer is not None:
@@ -208,8 +218,8 @@
                 thread.kill()
         return None
 
-    def _ask(self, node, known):
-        """Return a node's Snapshot, NothingMore, or None if it told nothing."""
+    def _query_node(self, node, known):
+        """Return a node's Snapshot, UpToDate, or None if it sent neither."""
         connection = EndpointConnection(node.address)
         try:
             return self._call(connection, known)
@@ -221,23 +231,23 @@
 
     def _choose(self, nodes):
         others = [node for node in nodes.values() if node.name != self.name]
-        near = [node for node in others if node.data_centre == self.data_centre]
-        if near and self.rng.random() < 0.5:
-            others = near
+        local = [node for node in others if node.data_centre == self.data_centre]
+        if local and self.rng.random() < 0.5:
+            others = local
         return self.rng.choice(others) if others else None
 
     def _call(self, connection, known):
         connection.open()
-        connection.set_time_limit(ANSWER_SECONDS)
+        connection.set_time_limit(RESPONSE_TIMEOUT_SECONDS)
         connection.collect()
         query = urlencode({"after": known.position, "version": known.version})
-        connection.begin("GET", f"{PATH}?{query}")
+        connection.begin("GET", f"{DIRECTORY_PATH}?{query}")
         connection.putheader("Host", connection.address)
         connection.putheader("Connection", "close")
         connection.endheaders()
         connection.flush()
         response = connection.read_head()
-        body = response.read_short(LARGEST_ANSWER)
+        body = response.read_short(MAX_RESPONSE_BYTES)
         if response.status == 204:
-            return NothingMore()
+            return UpToDate()
         return decode_snapshot(body) if response.status == 200 and body else None
--- a/packages/hingesill-node/hingesill_node/discovery/publisheddirectory.py
+++ b/packages/hingesill-node/hingesill_node/discovery/publisheddirectory.py
@@ -1,4 +1,4 @@
-"""What one node holds of the store, published and told on."""
+"""A node's directory, published within the node and to its followers."""
 
 import eventlet
 
@@ -11,7 +11,7 @@
 
 
 class PublishedDirectory:
-    """Holds what the store, a relay or another node told, and publishes it.
+    """Applies updates of the store, a relay or another node, and publishes them.
 
     Parameters
     ----------
@@ -20,14 +20,14 @@
     clock : callable
         Monotonic seconds.
     counters : Counters or None
-        Gets ``store_restores``.
+        Counters, of which ``store_restores`` is increased.
 
     Attributes
     ----------
     directory : Directory
-        What is held.
+        The directory.
     feed : Feed
-        Tells it to this node's followers.
+        Feed for this node's followers.
     """
 
     def __init__(self, publish, clock, counters=None):
@@ -38,24 +38,24 @@
         self.feed = Feed(self.directory, clock)
         self._published = 0
 
-    def take(self, take, content):
-        """Let the directory take a Snapshot or Changes; return whether it did.
+    def apply(self, method, content):
+        """Apply a Snapshot or Changes to the directory; return the method's result.
 
         Parameters
         ----------
-        take : callable
-            The directory's method for it.
+        method : callable
+            The directory's method for the content.
         content : Snapshot or Changes
-            What was told.
+            The received content.
         """
         held = self.directory.position
-        is_restored = self.directory.is_restored_by(content.position)
-        was_taken = take(content, self.clock())
+        is_restored = self.directory.is_from_later_era(content.position)
+        was_applied = method(content, self.clock())
         if is_restored:
-            self._note_restore(held, content)
-        return was_taken
+            self._record_restore(held, content)
+        return was_applied
 
-    def _note_restore(self, held, content):
+    def _record_restore(self, held, content):
         self.counters.add("store_restores", "")
         log_event(
             Event.STORE_RESTORED,
@@ -63,22 +63,22 @@
             told=str(content.position),
             version_told=get_version(content.declared),
             version_kept=get_version(self.directory.declared),
-            doubted=self.directory.count_doubts(),
+            doubted=self.directory.count_deferred(),
         )
 
     def publish_changes(self):
-        """Publish the directory if it has changed; watch what is in doubt."""
+        """Publish the directory if it has changed; schedule deferred updates."""
         if self.directory.generation != self._published:
             self._published = self.directory.generation
             self.publish(self.directory)
-            self.feed.tell()
-        expiry = self.directory.get_next_expiry()
-        if expiry is not None:
-            delay = max(0.0, expiry - self.clock())
-            eventlet.spawn_after(delay, self._expire)
+            self.feed.publish()
+        due_time = self.directory.get_next_due_time()
+        if due_time is not None:
+            delay = max(0.0, due_time - self.clock())
+            eventlet.spawn_after(delay, self._apply_due_updates)
 
-    def _expire(self):
-        for instance in self.directory.expire(self.clock()):
+    def _apply_due_updates(self):
+        for instance in self.directory.apply_due_updates(self.clock()):
             log_event(Event.ENDPOINT_GONE, endpoint=instance, cause="missing")
         self.publish_changes()
 
