--- a/matrix/mutant.py
+++ b/matrix/mutant.py
@@ -98,7 +98,7 @@
 @MUTATIONS.register("probes without pace")
 def probe_without_pace():
     """Probe all the time, without a share and without spacing."""
-    proberate.ProbeRateLimiter.take = lambda self, share, a_pace, now: True
+    proberate.ProbeRateLimiter.try_acquire = lambda self, share, a_pace, now: True
     prober.choose_probe_target = lambda a_dispatcher, now: next(
         iter(a_dispatcher.states)
     )
--- a/packages/hingesill-core/hingesill_core/limits/__init__.py
+++ b/packages/hingesill-core/hingesill_core/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What a node takes on, what it holds and what it refuses at once."""
+"""Limits on the requests that a node queues, sends or refuses."""
--- a/packages/hingesill-core/hingesill_core/limits/dequeueinterval.py
+++ b/packages/hingesill-core/hingesill_core/limits/dequeueinterval.py
@@ -1,44 +1,44 @@
-"""How soon requests that wait find endpoints, for those that are told to come back."""
+"""Estimate of the queueing time of new requests, for Retry-After headers."""
 
 from msgspec import Struct
 
 __all__ = ["DequeueInterval"]
 
-# Of the newest interval in the mean, so that some ten sends count.
-WEIGHT = 0.1
+# Weight of the newest interval in the mean, which thus covers about ten sends.
+NEWEST_WEIGHT = 0.1
 
 
 class DequeueInterval(Struct):
-    """The pace at which waiting requests of a service are sent.
+    """The mean interval at which queued requests of a service are sent.
 
     Attributes
     ----------
     interval : float
-        Mean seconds between two sends while requests wait.
+        Mean seconds between two sends while requests are queued.
     since : float
-        When the last one was sent, or when requests began to wait; in seconds of the
+        Time of the last send, or when the queue became non-empty, in seconds of the
         node's clock.
     """
 
     interval: float = 0.0
     since: float = float("-inf")
 
-    def begin(self, now):
-        """Take note that a first request waits."""
+    def start(self, now):
+        """Record that the queue became non-empty."""
         self.since = now
 
-    def note(self, now):
-        """Take note that a request that waited was sent."""
-        self.interval += WEIGHT * (now - self.since - self.interval)
+    def record_dequeue(self, now):
+        """Record that a queued request was sent."""
+        self.interval += NEWEST_WEIGHT * (now - self.since - self.interval)
         self.since = now
 
-    def estimate(self, waiting, now):
-        """Return the seconds until a request that came now would be sent.
+    def estimate_wait(self, waiting, now):
+        """Return the seconds until a request that arrives now would be sent.
 
         Parameters
         ----------
         waiting : int
-            Requests that wait already.
+            Requests already queued.
         now : float
             Seconds of the node's clock.
         """
--- a/packages/hingesill-core/hingesill_core/limits/elapsedtime.py
+++ b/packages/hingesill-core/hingesill_core/limits/elapsedtime.py
@@ -1,4 +1,4 @@
-"""How long a caller has been trying, judged by the time it has left."""
+"""Estimate of the time that a caller spent on earlier attempts."""
 
 from msgspec import Struct, field
 
@@ -6,75 +6,78 @@
 
 __all__ = ["ElapsedTimeEstimator"]
 
-# The longest time that is not seen any more fades by this share a request.
-FADE = 0.002
-# First tries bring at least this share of the longest time; what brings less says
-# nothing of them: a caller that comes back after a second, with four seconds in all,
-# brings less.
-LEAST_OF_FIRST = 0.8
-# Accepted share of first tries that are classified as repeated ones.
-MISTAKEN_SHARE = 0.15
+# Decay of the longest time per request, as a share.
+DECAY_PER_REQUEST = 0.002
+# First attempts declare at least this share of the longest time. Less is ignored in
+# the estimate: a caller that retries after a second, with four seconds in all,
+# declares less.
+MIN_FIRST_ATTEMPT_SHARE = 0.8
+# Accepted share of first attempts that are classified as repeated ones.
+MISCLASSIFIED_SHARE = 0.15
 # Step of the estimate, as a share of the longest time.
-STEP = 0.01
-# Time without learning after an unserved request, in seconds: callers return then.
-TROUBLE_SECONDS = 2.0
-# Initial estimate of the least time of first tries, as a share of the longest.
-FIRST_GUESS = 0.95
+QUANTILE_STEP = 0.01
+# Pause of the estimation after an unserved request, in seconds: callers retry then.
+RETRY_PAUSE_SECONDS = 2.0
+# Initial estimate of the shortest time of first attempts, as a share of the longest.
+INITIAL_SHARE = 0.95
 
 
 class ElapsedTimeEstimator(Struct):
-    """The time that callers of each route bring with their first tries.
+    """The remaining time that callers of each route declare with their first attempts.
 
     Notes
     -----
-    Callers tell what time is left. One that has clearly less than first tries bring is
-    taken to have spent the rest on tries elsewhere: its answer can no longer meet the
-    route's target, counted from its first try, and it is served after others. How much
-    first tries differ is learnt from all routes together, as a node of a large fleet
-    sees few requests of each.
+    Callers declare their remaining time. A caller with clearly less than first
+    attempts declare is assumed to have spent the difference on attempts at other
+    nodes: its answer can no longer meet the route's target, counted from its first
+    attempt, and it is served after others. The spread of first attempts is estimated
+    over all routes together, as a node of a large fleet sees few requests of each.
 
-    Were each measured by the longest time, many first tries that bring less would be
-    taken for late ones, and would wait for an endpoint after all others.
+    If every caller were compared with the longest time, many first attempts that
+    declare less would be classified as late, and would wait for an endpoint behind
+    all others.
 
     Attributes
     ----------
     longest : dict
-        Seconds by route; the most that a caller of late has brought.
+        Seconds by route; the longest time that a caller declared recently.
     least : Quantile
-        Share of the longest time that nearly all first tries bring.
+        Share of the longest time that nearly all first attempts declare.
     learns_from : float
-        Seconds of the node's clock from which on it learns that share.
+        Seconds of the node's clock from which the share is updated.
     """
 
     longest: dict = field(default_factory=dict)
-    least: Quantile = field(
-        default_factory=lambda: Quantile(MISTAKEN_SHARE, FIRST_GUESS, STEP)
+    first_attempt_share: Quantile = field(
+        default_factory=lambda: Quantile(
+            MISCLASSIFIED_SHARE, INITIAL_SHARE, QUANTILE_STEP
+        )
     )
-    learns_from: float = float("-inf")
+    learning_from: float = float("-inf")
 
     def record_unserved(self, now):
-        """Take note, in seconds of the node's clock, that a caller got no answer."""
-        self.learns_from = now + TROUBLE_SECONDS
+        """Record, in seconds of the node's clock, that a caller got no answer."""
+        self.learning_from = now + RETRY_PAUSE_SECONDS
 
     def estimate(self, route, left, now):
-        """Return the seconds that a caller seems to have spent.
+        """Return the estimated seconds that a caller spent on earlier attempts.
 
         Parameters
         ----------
         route : Route
-            The request's.
+            Route of the request.
         left : float
-            Seconds that the caller gave.
+            Remaining seconds that the caller declared.
         now : float
             Seconds of the node's clock.
         """
-        learns = now >= self.learns_from
-        kept = 1 - FADE if learns else 1.0
-        longest = max(left, self.longest.get(route, 0.0) * kept)
+        is_learning = now >= self.learning_from
+        decay = 1 - DECAY_PER_REQUEST if is_learning else 1.0
+        longest = max(left, self.longest.get(route, 0.0) * decay)
         self.longest[route] = longest
         if not longest:
             return 0.0
-        brought = left / longest
-        if learns and brought >= LEAST_OF_FIRST:
-            self.least.note(brought)
-        return max(0.0, min(1.0, self.least.value) * longest - left)
+        declared_share = left / longest
+        if is_learning and declared_share >= MIN_FIRST_ATTEMPT_SHARE:
+            self.first_attempt_share.record(declared_share)
+        return max(0.0, min(1.0, self.first_attempt_share.value) * longest - left)
--- a/packages/hingesill-core/hingesill_core/limits/latency.py
+++ b/packages/hingesill-core/hingesill_core/limits/latency.py
@@ -1,72 +1,73 @@
-"""Whether a request can still make its deadline, and when to come back."""
+"""Estimates of response times, for admission by deadline and for Retry-After."""
 
 from msgspec import Struct
 
 __all__ = ["LatencyEstimate"]
 
-PACE_WEIGHT = 0.05
-INITIAL_PACE = 0.005
-SHORTEST_TYPICAL = 0.0001
-SHORTEST_RETRY_AFTER = 0.05
-LONGEST_RETRY_AFTER = 5.0
+STEP_SHARE = 0.05
+INITIAL_SECONDS = 0.005
+MIN_MEDIAN_SECONDS = 0.0001
+MIN_RETRY_AFTER_SECONDS = 0.05
+MAX_RETRY_AFTER_SECONDS = 5.0
 
 
 class LatencyEstimate(Struct):
-    """How long the answers of a route or a service take, in seconds.
+    """Response times of a route or a service, in seconds.
 
     Attributes
     ----------
-    typical : float
-        Follows the median of unloaded answers, which a spell of slow answers
-        does not lift.
-    quick : float
-        Follows the lower tenth, so that a request is refused only if even a
-        quick answer would be too late.
+    median : float
+        Running median without load, which a period of slow answers does not raise.
+    p10 : float
+        Running 10th percentile, so that a request is refused only if even a fast
+        answer would be too late.
+    answers : int
+        Number of answers recorded.
     """
 
-    median: float = INITIAL_PACE
-    p10: float = INITIAL_PACE / 2
+    median: float = INITIAL_SECONDS
+    p10: float = INITIAL_SECONDS / 2
     answers: int = 0
 
-    def note(self, seconds, load=1.0):
-        """Take the time of an answer; the first one sets the scale.
+    def record(self, seconds, load=1.0):
+        """Record the time of an answer; the first one initializes the estimates.
 
         Parameters
         ----------
         seconds : float
-            From the send to the answer.
+            Time from the send to the answer.
         load : float
-            How many times longer than unloaded it should have taken.
+            Expected slowdown by load; the median is tracked without it.
         """
         self.answers += 1
         if self.answers == 1:
             self.median = seconds
             self.p10 = seconds / 2
         self._follow_median(seconds / load)
-        step = PACE_WEIGHT * self.median
+        step = STEP_SHARE * self.median
         self.p10 += step * (0.1 if seconds > self.p10 else -0.9)
         self.p10 = max(self.p10, 0.0)
 
     def _follow_median(self, seconds):
-        step = PACE_WEIGHT * self.median
+        step = STEP_SHARE * self.median
         self.median += step if seconds > self.median else -step
-        self.median = max(self.median, SHORTEST_TYPICAL)
+        self.median = max(self.median, MIN_MEDIAN_SECONDS)
 
-    def estimate_queue_time(self, ahead, places):
-        """Return how long a new ticket would wait.
+    def estimate_queue_time(self, ahead, capacity):
+        """Return the estimated queueing time of a new request, in seconds.
 
         Parameters
         ----------
         ahead : int
-            Tickets served before it.
+            Requests served before it.
         places : int
             Sends that may be in flight at once.
         """
-        if places <= 0:
-            return LONGEST_RETRY_AFTER
-        return (ahead + 1) * self.median / places
+        if capacity <= 0:
+            return MAX_RETRY_AFTER_SECONDS
+        return (ahead + 1) * self.median / capacity
 
     def suggest_retry_after(self, wait, rng):
-        """Return the seconds after which to come back, spread at random."""
-        base = min(LONGEST_RETRY_AFTER, max(SHORTEST_RETRY_AFTER, wait))
+        """Return the seconds for Retry-After, with random jitter."""
+        base = min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, wait))
         return base * (1 + rng.random())
--- a/packages/hingesill-core/hingesill_core/limits/queue.py
+++ b/packages/hingesill-core/hingesill_core/limits/queue.py
@@ -1,4 +1,4 @@
-"""The short queue at the node: live requests before deferrable ones."""
+"""The bounded request queue of a node: live requests before deferrable ones."""
 
 from collections import OrderedDict
 
@@ -11,7 +11,7 @@
     Parameters
     ----------
     limit : int
-        How many may wait, both priorities together.
+        Maximum length, both priorities together.
     """
 
     def __init__(self, limit):
@@ -27,23 +27,23 @@
         yield from self._deferrable
 
     def count_ahead(self, ticket):
-        """Return how many would be served before a new ticket."""
+        """Return how many requests would be served before a new one."""
         return len(self._live) if ticket.route.live else len(self)
 
     def add(self, ticket):
-        """Add a ticket at the end of its priority."""
-        line = self._live if ticket.route.live else self._deferrable
-        line[ticket] = None
+        """Append a request to the queue of its priority."""
+        queue = self._live if ticket.route.live else self._deferrable
+        queue[ticket] = None
         ticket.waiting = True
 
     def remove(self, ticket):
-        """Take a ticket out, whether it waits or not."""
-        line = self._live if ticket.route.live else self._deferrable
-        line.pop(ticket, None)
+        """Remove a request if it is queued."""
+        queue = self._live if ticket.route.live else self._deferrable
+        queue.pop(ticket, None)
         ticket.waiting = False
 
     def evict_deferrable(self):
-        """Take out the newest deferrable ticket and return it, or None."""
+        """Remove the newest deferrable request and return it, or None."""
         if not self._deferrable:
             return None
         ticket, _ = self._deferrable.popitem()
@@ -51,6 +51,6 @@
         return ticket
 
     def get_first(self, live):
-        """Return the first ticket of a priority without taking it out, or None."""
-        line = self._live if live else self._deferrable
-        return next(iter(line), None)
+        """Return the first request of a priority without removing it, or None."""
+        queue = self._live if live else self._deferrable
+        return next(iter(queue), None)
--- a/packages/hingesill-core/hingesill_core/limits/tests/test_elapsedtime.py
+++ b/packages/hingesill-core/hingesill_core/limits/tests/test_elapsedtime.py
@@ -1,98 +1,99 @@
-"""Tests of judging by the time left how long a caller has been trying."""
+"""Tests of the estimated time that callers spent on earlier attempts."""
 
 import random
 import unittest
 
 from hingesill_core.limits.elapsedtime import ElapsedTimeEstimator
 
-TIMES = (3.0, 4.0, 6.0, 8.0)
+LIMITS = (3.0, 4.0, 6.0, 8.0)
 
 
-def learn(least_share, tries=200, seed=1):
-    """Return what was learnt of callers, and what was taken for spent, in seconds.
+def train(min_share, attempts=200, seed=1):
+    """Return a trained estimator and its estimates, in seconds.
 
     Parameters
     ----------
     least_share : float
-        First tries bring this share of each route's time, or more.
+        Minimum share of each route's time that first attempts declare.
     """
     rng = random.Random(seed)
-    elapsed = ElapsedTimeEstimator()
-    taken = []
-    for _ in range(tries):
-        limit = rng.choice(TIMES)
-        brought = limit * rng.uniform(least_share, 1.0)
-        taken.append(elapsed.estimate(limit, brought, 0.0))
-    return elapsed, taken
+    estimator = ElapsedTimeEstimator()
+    estimates = []
+    for _ in range(attempts):
+        limit = rng.choice(LIMITS)
+        declared = limit * rng.uniform(min_share, 1.0)
+        estimates.append(estimator.estimate(limit, declared, 0.0))
+    return estimator, estimates
 
 
 class SpentTimeTests(unittest.TestCase):
-    def test_a_first_try_has_spent_nothing(self):
-        elapsed = ElapsedTimeEstimator()
-        self.assertEqual(elapsed.estimate("r", 2.0, 0.0), 0.0)
-        self.assertAlmostEqual(elapsed.estimate("r", 2.0, 0.0), 0.0)
-
-    def test_a_later_try_has_spent_the_rest(self):
-        elapsed, _ = learn(1.0)
-        self.assertAlmostEqual(elapsed.estimate(4.0, 3.5, 0.0), 0.5, delta=0.15)
-        self.assertAlmostEqual(elapsed.estimate(8.0, 3.0, 0.0), 5.0, delta=0.3)
-
-    def test_a_node_that_has_just_started_sees_who_waited_long(self):
-        elapsed = ElapsedTimeEstimator()
-        elapsed.estimate("r", 4.0, 0.0)
-        self.assertGreater(elapsed.estimate("r", 2.9, 0.0), 0.5)
-
-    def test_routes_are_kept_apart(self):
-        elapsed = ElapsedTimeEstimator()
-        elapsed.estimate("r", 9.0, 0.0)
-        self.assertEqual(elapsed.estimate("q", 2.0, 0.0), 0.0)
-
-    def test_a_usual_time_that_is_not_seen_any_more_fades(self):
-        elapsed = ElapsedTimeEstimator()
-        elapsed.estimate("r", 4.0, 0.0)
+    def test_a_first_attempt_has_no_elapsed_time(self):
+        estimator = ElapsedTimeEstimator()
+        self.assertEqual(estimator.estimate("r", 2.0, 0.0), 0.0)
+        self.assertAlmostEqual(estimator.estimate("r", 2.0, 0.0), 0.0)
+
+    def test_a_later_attempt_has_elapsed_time(self):
+        estimator, _ = train(1.0)
+        self.assertAlmostEqual(estimator.estimate(4.0, 3.5, 0.0), 0.5, delta=0.15)
+        self.assertAlmostEqual(estimator.estimate(8.0, 3.0, 0.0), 5.0, delta=0.3)
+
+    def test_a_new_node_detects_long_elapsed_times(self):
+        estimator = ElapsedTimeEstimator()
+        estimator.estimate("r", 4.0, 0.0)
+        self.assertGreater(estimator.estimate("r", 2.9, 0.0), 0.5)
+
+    def test_routes_are_independent(self):
+        estimator = ElapsedTimeEstimator()
+        estimator.estimate("r", 9.0, 0.0)
+        self.assertEqual(estimator.estimate("q", 2.0, 0.0), 0.0)
+
+    def test_a_longest_time_that_no_caller_declares_decays(self):
+        estimator = ElapsedTimeEstimator()
+        estimator.estimate("r", 4.0, 0.0)
         for _ in range(1000):
-            last = elapsed.estimate("r", 2.0, 0.0)
-        self.assertEqual(last, 0.0)
+            estimate = estimator.estimate("r", 2.0, 0.0)
+        self.assertEqual(estimate, 0.0)
 
-    def test_a_caller_without_time(self):
+    def test_a_caller_without_remaining_time(self):
         self.assertEqual(ElapsedTimeEstimator().estimate("r", 0.0, 0.0), 0.0)
 
 
-class SpreadTests(unittest.TestCase):
-    """First tries bring different times: 0.85 to 1 of the longest.
+class DeclaredTimeSpreadTests(unittest.TestCase):
+    """First attempts declare 0.85 to 1 of the longest time.
 
-    Taken to have spent over a tenth of a second, of 200 first tries, five seeds: 129 to
-    142 as long as each was measured by the longest, 2 to 7 now.
+    Of 200 first attempts, with each of five seeds, 129 to 142 were estimated at over a
+    tenth of a second when all were compared with the longest time, and 2 to 7 with the
+    learned share.
     """
 
-    def test_first_tries_are_not_taken_for_later_ones(self):
-        _, taken = learn(0.85)
-        self.assertLess(sum(seconds > 0.1 for seconds in taken), 25)
+    def test_first_attempts_are_not_classified_as_repeated(self):
+        _, estimates = train(0.85)
+        self.assertLess(sum(seconds > 0.1 for seconds in estimates), 25)
 
-    def test_who_waited_longer_than_that_is_still_seen(self):
-        elapsed, _ = learn(0.85)
-        self.assertGreater(elapsed.estimate(4.0, 2.8, 0.0), 0.5)
+    def test_elapsed_time_beyond_the_spread_is_detected(self):
+        estimator, _ = train(0.85)
+        self.assertGreater(estimator.estimate(4.0, 2.8, 0.0), 0.5)
 
-    def test_callers_that_come_back_do_not_hide_each_other(self):
-        elapsed, _ = learn(1.0)
+    def test_repeated_attempts_do_not_lower_the_estimate(self):
+        estimator, _ = train(1.0)
         for _ in range(100):
-            elapsed.estimate(4.0, 2.0, 0.0)
-        self.assertAlmostEqual(elapsed.estimate(4.0, 2.0, 0.0), 2.0, delta=0.8)
+            estimator.estimate(4.0, 2.0, 0.0)
+        self.assertAlmostEqual(estimator.estimate(4.0, 2.0, 0.0), 2.0, delta=0.8)
 
 
-class TroubleTests(unittest.TestCase):
-    """Callers that come back soon, many of them, after a time of refusals."""
+class RetriesAfterRefusalTests(unittest.TestCase):
+    """Many callers retry soon after a period of refusals."""
 
-    def test_nothing_is_learnt_from_them(self):
-        elapsed, _ = learn(1.0)
+    def test_estimation_pauses_after_refusals(self):
+        estimator, _ = train(1.0)
         for _ in range(200):
-            elapsed.record_unserved(10.0)
-            elapsed.estimate(4.0, 3.4, 11.0)
-        self.assertAlmostEqual(elapsed.estimate(4.0, 3.4, 11.0), 0.6, delta=0.2)
+            estimator.record_unserved(10.0)
+            estimator.estimate(4.0, 3.4, 11.0)
+        self.assertAlmostEqual(estimator.estimate(4.0, 3.4, 11.0), 0.6, delta=0.2)
 
-    def test_it_learns_again_afterwards(self):
-        elapsed, _ = learn(1.0)
-        elapsed.record_unserved(10.0)
+    def test_estimation_resumes_after_the_pause(self):
+        estimator, _ = train(1.0)
+        estimator.record_unserved(10.0)
         for _ in range(200):
-            elapsed.estimate(4.0, 3.4 + 0.6 * random.random(), 13.0)
-        self.assertLess(elapsed.estimate(4.0, 3.5, 13.0), 0.2)
+            estimator.estimate(4.0, 3.4 + 0.6 * random.random(), 13.0)
+        self.assertLess(estimator.estimate(4.0, 3.5, 13.0), 0.2)
--- a/packages/hingesill-core/hingesill_core/limits/tests/test_querybudget.py
+++ b/packages/hingesill-core/hingesill_core/limits/tests/test_querybudget.py
@@ -1,4 +1,4 @@
-"""Tests of a node's part of the fleet's probe budget."""
+"""Tests of a node's share of the fleet's probe budget."""
 
 import unittest
 
@@ -7,20 +7,20 @@
 
 
 class AskBudgetTests(unittest.TestCase):
-    def test_no_window_sees_more_than_its_part(self):
+    def test_no_window_exceeds_its_share(self):
         budget = QueryBudget()
-        budget.set_part("a", ProbeBudget(40.0, 10.0, 1.0, 0.001, "/h"), 4)
+        budget.set_service_budget("a", ProbeBudget(40.0, 10.0, 1.0, 0.001, "/h"), 4)
         times = [
             step / 100
             for step in range(4000)
-            if budget.take(1, step / 100)
+            if budget.acquire(1, step / 100)
             for _ in "x"
         ]
         for start in times:
             inside = sum(start <= at < start + 10.0 for at in times)
             self.assertLessEqual(inside, 100)
 
-    def test_a_new_process_can_ask_at_once(self):
+    def test_a_new_process_can_query_at_once(self):
         budget = QueryBudget()
-        budget.set_part("a", ProbeBudget(40.0, 10.0, 1.0, 0.001, "/h"), 4)
-        self.assertEqual(budget.take(3, 0.0), 3)
+        budget.set_service_budget("a", ProbeBudget(40.0, 10.0, 1.0, 0.001, "/h"), 4)
+        self.assertEqual(budget.acquire(3, 0.0), 3)
--- a/packages/hingesill-core/hingesill_core/probing/__init__.py
+++ b/packages/hingesill-core/hingesill_core/probing/__init__.py
@@ -1,1 +1,1 @@
-"""Measuring endpoints by probes within a budget that holds at every moment."""
+"""Health probes of endpoints, within the declared budget in every window."""
--- a/packages/hingesill-core/hingesill_core/probing/proberate.py
+++ b/packages/hingesill-core/hingesill_core/probing/proberate.py
@@ -1,4 +1,4 @@
-"""How often one share may probe, so that the whole fleet keeps the budget."""
+"""The probe rate of one share, such that the whole fleet stays within the budget."""
 
 from math import floor
 
@@ -8,18 +8,18 @@
 
 __all__ = ["ProbeRate", "ProbeRateLimiter", "compute_probe_rate"]
 
-FEWEST_A_SHARE = 3
+MIN_PROBES_PER_SHARE = 3
 
 
 class ProbeRate(Struct, frozen=True):
-    """A service's probes, as a share of the budget.
+    """The probe rate of a service, as shares of its budget.
 
     Parameters
     ----------
     shares : int
-        Shares that take part in this service; the others do not probe it.
+        Shares that probe this service; the others do not.
     interval : float
-        Least seconds between two probes of one share.
+        Minimum seconds between two probes of one share.
     """
 
     shares: int
@@ -27,13 +27,13 @@
 
 
 def compute_probe_rate(budget, slots):
-    """Return the pace of a service, or None if its budget allows no probe.
+    """Return the probe rate of a service, or None if its budget allows no probe.
 
     Parameters
     ----------
     budget : ProbeBudget
-        As declared: probes a second over a window, and the share of the
-        endpoints' capacity that they may take.
+        Declared probes a second over a window, and the share of the endpoints'
+        capacity that they may use.
     slots : int
         Slots of all endpoints.
 
@@ -47,13 +47,13 @@
     """
     rate = min(budget.per_second, budget.capacity_share * slots / budget.cost)
     allowed = floor(rate * budget.window)
-    late = floor(budget.window / PROBE_SHARE_TTL_SECONDS) + 1
-    least = FEWEST_A_SHARE + late
-    shares = min(PROBE_SHARES, allowed // least)
+    late_probes = floor(budget.window / PROBE_SHARE_TTL_SECONDS) + 1
+    min_probes = MIN_PROBES_PER_SHARE + late_probes
+    shares = min(PROBE_SHARES, allowed // min_probes)
     if shares == 0:
         return None
-    a_share = allowed // shares
-    return ProbeRate(shares, budget.window / (a_share - 1 - late))
+    probes_per_share = allowed // shares
+    return ProbeRate(shares, budget.window / (probes_per_share - 1 - late_probes))
 
 
 class ProbeRateLimiter(Struct):
@@ -67,17 +67,17 @@
 
     next_at: float = 0.0
 
-    def take(self, share, pace, now):
-        """Take the right to send one probe now; return whether there is one.
+    def try_acquire(self, share, probe_rate, now):
+        """Acquire permission for one probe now; return whether it was granted.
 
         Notes
         -----
-        To be called right before the send. A new holder waits a full interval
-        first, as the one before it may just have sent.
+        Called right before the send. A new holder waits a full interval first, as the
+        previous holder may just have sent a probe.
         """
-        if share.number >= pace.shares or not share.is_held(now):
+        if share.number >= probe_rate.shares or not share.is_held(now):
             return False
-        if now < max(self.next_at, share.acquired_at + pace.interval):
+        if now < max(self.next_at, share.acquired_at + probe_rate.interval):
             return False
-        self.next_at = now + pace.interval
+        self.next_at = now + probe_rate.interval
         return True
--- a/packages/hingesill-core/hingesill_core/probing/probeshare.py
+++ b/packages/hingesill-core/hingesill_core/probing/probeshare.py
@@ -1,8 +1,8 @@
-"""Shares of the probe budget: held by lease, checked on the holder's own clock.
+"""Shares of the probe budget: held by lease, checked against the holder's own clock.
 
 The fleet has a fixed number of shares, each a lease in the store. Only a holder
-probes. Whoever cannot be sure that it holds its share does not probe, so a store
-that is away ends all probing within one lease and nothing else.
+probes. A node that cannot be sure that it holds its share does not probe, so an
+outage of the store stops all probing within one lease and nothing else.
 """
 
 from msgspec import Struct
@@ -11,23 +11,23 @@
 
 PROBE_SHARES = 6
 PROBE_SHARE_TTL_SECONDS = 15.0
-MARGIN = 1.0
-DRIFT = 0.01
+MARGIN_SECONDS = 1.0
+MAX_CLOCK_DRIFT = 0.01
 
 
 class ProbeShare(Struct):
-    """One share as its holder sees it; times in seconds of the lease clock.
+    """One share from its holder's point of view; times in seconds of the lease clock.
 
     Parameters
     ----------
     number : int
-        Which share.
+        Index of the share.
     lease : str
-        The store's name for the lease.
+        The store's identifier of the lease.
     held_until : float
-        The holder counts on it until then.
+        Time until which the holder relies on the lease.
     acquired_at : float
-        When the holder got it; it begins with an empty bucket.
+        Time of acquisition; the holder begins with an empty token bucket.
     """
 
     number: int
@@ -36,25 +36,24 @@
     acquired_at: float
 
     @classmethod
-    def acquire(cls, number, lease, ttl, asked_at):
-        """Return a share whose lease was asked for at a time."""
-        return cls(number, lease, compute_end(asked_at, ttl), asked_at)
+    def acquire(cls, number, lease, ttl, requested_at):
+        """Return a share whose lease was requested at the given time."""
+        return cls(number, lease, compute_end(requested_at, ttl), requested_at)
 
-    def renew(self, ttl, asked_at):
-        """Take a renewal that was asked for at a time.
+    def renew(self, ttl, requested_at):
+        """Apply a renewal that was requested at the given time.
 
         Notes
         -----
-        The lease counts from before the call: an answer that was long on its
-        way must not prolong it.
+        The lease counts from before the call: a delayed response must not extend it.
         """
-        self.held_until = max(self.held_until, compute_end(asked_at, ttl))
+        self.held_until = max(self.held_until, compute_end(requested_at, ttl))
 
     def is_held(self, now):
-        """Tell whether the holder may still count on the share."""
+        """Return whether the holder may still rely on the share."""
         return now < self.held_until
 
 
-def compute_end(asked_at, ttl):
-    """Return until when a lease is counted on: less the margin and the drift."""
-    return asked_at + ttl * (1 - DRIFT) - MARGIN
+def compute_end(requested_at, ttl):
+    """Return until when a lease is relied on, less the margin and the clock drift."""
+    return requested_at + ttl * (1 - MAX_CLOCK_DRIFT) - MARGIN_SECONDS
--- a/packages/hingesill-core/hingesill_core/retries/__init__.py
+++ b/packages/hingesill-core/hingesill_core/retries/__init__.py
@@ -1,1 +1,1 @@
-"""Whether and when a request is sent once more."""
+"""Whether and when a request is retried."""
--- a/packages/hingesill-core/hingesill_core/retries/budget.py
+++ b/packages/hingesill-core/hingesill_core/retries/budget.py
@@ -1,4 +1,4 @@
-"""Budgets of extra sends: tokens that first sends earn."""
+"""Token budgets of extra sends, earned by first sends."""
 
 from msgspec import Struct
 
@@ -8,16 +8,16 @@
 
 
 class TokenBudget(Struct):
-    """Extra sends as a share of first sends.
+    """A budget of extra sends as a share of first sends.
 
     Parameters
     ----------
     share : float
         Tokens that each first send earns.
     tokens : float
-        What has been saved up; a new process starts with none.
+        Tokens available; a new process starts with none.
     burst : float
-        The most that may be saved up.
+        Maximum number of tokens.
     """
 
     share: float
@@ -25,7 +25,7 @@
     burst: float = BURST
 
     def set_share(self, share, burst=BURST):
-        """Put another share in force; none at all takes away what was saved."""
+        """Apply another share; a share of zero removes the available tokens."""
         self.share = share
         self.burst = burst
         self.tokens = min(self.tokens, burst)
@@ -33,22 +33,22 @@
             self.tokens = 0.0
 
     def earn(self):
-        """Take note of a first send."""
+        """Record a first send."""
         self.tokens = min(self.burst, self.tokens + self.share)
 
-    def spend(self, keep=0.0):
-        """Take one token; return whether there was one.
+    def spend(self, reserve=0.0):
+        """Spend one token; return whether one was available.
 
         Parameters
         ----------
         keep : float
-            Tokens that are left for what matters more.
+            Tokens reserved for more important sends.
         """
-        if self.tokens < 1.0 + keep:
+        if self.tokens < 1.0 + reserve:
             return False
         self.tokens -= 1.0
         return True
 
     def refund(self):
-        """Return a token whose send did not come about."""
+        """Return the token of a send that was not made."""
         self.tokens = min(self.burst, self.tokens + 1.0)
--- a/packages/hingesill-core/hingesill_core/retries/decision.py
+++ b/packages/hingesill-core/hingesill_core/retries/decision.py
@@ -1,4 +1,4 @@
-"""What follows the end of a send: another send or the final answer."""
+"""The decision after a failed send: a retry or the final response."""
 
 from hingesill_core.reasons import Outcome, RefusalReason, RetryReason
 from hingesill_core.routing.messages import Refusal, RetryDenied, SendStatus
@@ -24,54 +24,54 @@
     SendStatus.CANCELLED: RefusalReason.CALLER_GONE,
 }
 
-# Ends after which nothing has reached the endpoint.
+# Statuses of sends that did not reach the endpoint.
 NOT_EXECUTED = frozenset({SendStatus.CONNECT_FAILED, SendStatus.NOT_SENT})
-CERTAINLY_NOT_RUN = NOT_EXECUTED | {SendStatus.REFUSED}
+DEFINITELY_NOT_RUN = NOT_EXECUTED | {SendStatus.REFUSED}
 
 
-def mark_may_have_run(ticket, end):
-    """Note on the ticket whether an endpoint may have run it."""
-    if end not in CERTAINLY_NOT_RUN:
+def mark_may_have_run(ticket, status):
+    """Mark the request if an endpoint may have executed it."""
+    if status not in DEFINITELY_NOT_RUN:
         ticket.exposed = True
 
 
-def decide_retry(ticket, end, budget, now, p10):
-    """Decide whether a request may be sent once more.
+def decide_retry(ticket, status, budget, now, p10):
+    """Decide whether a request may be sent again.
 
     Parameters
     ----------
     ticket : Ticket
-        The request; its exposure has been marked.
+        The request, marked by `mark_may_have_run`.
     end : SendStatus
-        How its last send ended.
+        Status of its last send.
     budget : TokenBudget
         The service's budget of retries.
-    now, quick : float
-        The time, and how long a quick answer takes, in seconds.
+    now, p10 : float
+        The time, and the 10th percentile of the response time, in seconds.
 
     Returns
     -------
-    RetryReason or Denied
-        Why it is sent again, or why it is not.
+    RetryReason or RetryDenied
+        The reason for the retry, or for its denial.
     """
-    denial = find_denial(ticket, end, now, p10)
+    denial = find_denial(ticket, status, now, p10)
     if denial is not None:
         return RetryDenied(denial)
-    # Another endpoint gets what this one did not: that is no extra request.
-    if end is not SendStatus.NOT_SENT and not budget.spend():
+    # A request that was not sent costs no token: the next send is not an extra one.
+    if status is not SendStatus.NOT_SENT and not budget.spend():
         return RetryDenied(RetryReason.DENIED_BUDGET)
-    return RETRY_REASONS[end]
+    return RETRY_REASONS[status]
 
 
-def find_denial(ticket, end, now, p10):
-    """Return the rule that forbids another send, or None."""
+def find_denial(ticket, status, now, p10):
+    """Return the reason that forbids another send, or None."""
     if ticket.retry_forbidden:
         return RetryReason.DENIED_ENDINGS
     if ticket.exposed and not ticket.route.repeatable:
         return RetryReason.DENIED_NOT_REPEATABLE
     if not ticket.replayable:
         return RetryReason.DENIED_NOT_REPEATABLE
-    if not ticket.may_retry and end not in NOT_EXECUTED:
+    if not ticket.may_retry and status not in NOT_EXECUTED:
         return RetryReason.DENIED_LAYER
     if ticket.sends >= ticket.route.most_sends:
         return RetryReason.DENIED_BUDGET
@@ -80,7 +80,7 @@
     return None
 
 
-def classify_refusal(ticket, end, retry_after):
-    """Return the final answer after a send that is not repeated."""
+def classify_refusal(ticket, status, retry_after):
+    """Return the final response after a send that is not retried."""
     outcome = Outcome.UNKNOWN if ticket.exposed else Outcome.NOT_RUN
-    return Refusal(REFUSAL_REASONS[end], outcome, retry_after)
+    return Refusal(REFUSAL_REASONS[status], outcome, retry_after)
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -357,9 +357,9 @@
         if result.end is not SendStatus.ANSWERED:
             return
         route = send.ticket.route
-        self.get_latency(route).note(seconds, send.load)
+        self.get_latency(route).record(seconds, send.load)
         if route.live:
-            self.pace.note(seconds)
+            self.pace.record(seconds)
             away = OTHER_DATA_CENTRE / self.pace.median
             for state in self.states.values():
                 state.distance = 0.0 if state.is_near else away
--- a/packages/hingesill-core/hingesill_core/routing/hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/hedging.py
@@ -128,7 +128,7 @@
         """
         retries = self.dispatcher.retries
         kept = min(KEPT_FOR_RETRIES, max(0.0, retries.burst - 1.0))
-        if not retries.spend(keep=kept):
+        if not retries.spend(reserve=kept):
             return RetryDenied(RetryReason.DENIED_BUDGET)
         ask = self.dispatcher.binding.enter_hedge(ticket, now)
         if ask is None:
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -59,7 +59,7 @@
         """Put a declaration and a view of the fleet in force."""
         if service.probes.pooled:
             self.budget = self.pool
-        self.budget.set_part(service.name, service.probes, fleet.nodes)
+        self.budget.set_service_budget(service.name, service.probes, fleet.nodes)
         self.slots.usual_times.keep(service.routes)
         self.warm_up.configure(service, fleet)
 
@@ -80,7 +80,7 @@
         if len(self.waiting) >= self.dispatcher.service.queue_limit:
             return self.dispatcher.refuse(ticket, RefusalReason.QUEUE_FULL, now)
         if not self._count_waiting():
-            self.dequeue_interval.begin(now)
+            self.dequeue_interval.start(now)
         waiting = self.waiting[ticket] = self._build_waiting(ticket, now)
         if self.limits.limited and not self.limited.admit(ticket, now):
             self.waiting.pop(ticket)
@@ -129,7 +129,7 @@
 
     def estimate_wait(self, now):
         """Return the seconds that a request which came now would wait."""
-        return self.dequeue_interval.estimate(self._count_waiting(), now)
+        return self.dequeue_interval.estimate_wait(self._count_waiting(), now)
 
     def _count_waiting(self):
         """Return how many requests wait that have no endpoint at all."""
@@ -170,7 +170,7 @@
     def _choose(self, wanted, now, routes, is_first=False):
         """Return the identities of endpoints to ask, as the budget allows."""
         candidates = self.selection.list_candidates(now, routes)
-        count = self.budget.take(min(wanted, len(candidates)), now)
+        count = self.budget.acquire(min(wanted, len(candidates)), now)
         self.warm_up.record_queries(count, now)
         chosen = self.selection.sample(candidates, count, now, is_first)
         for state in chosen:
@@ -205,7 +205,7 @@
         first = min(fitting, key=lambda waiting: waiting.get_order(now))
         self.waiting.pop(first.ticket)
         if not first.hedge:
-            self.dequeue_interval.note(now)
+            self.dequeue_interval.record_dequeue(now)
         send = self.dispatcher.start_send(first.ticket, state, now, first.hedge)
         send.occupied = 0 if is_cold else running + 1
         return send
@@ -227,7 +227,7 @@
         stage = waiting.get_stage(now, self.rules)
         if is_cold and stage is Stage.SELECTIVE:
             return False
-        most = self.selection.get_most_slowness()
+        most = self.selection.get_max_slowness()
         usable = self.slots.get_concurrency_limit(state.report.slots, now)
         return is_good_enough(state.report, stage, usable, most)
 
@@ -264,7 +264,7 @@
             self.has_reports = reply.report is not None
             if reply.report is not None:
                 state.report = complete_report(reply.report, state)
-                self.selection.slowness.note(reply.report.slowness)
+                self.selection.slowness.record(reply.report.slowness)
         return state
 
     def record_answer(self, send, seconds, now):
--- a/packages/hingesill-core/hingesill_core/routing/profile.py
+++ b/packages/hingesill-core/hingesill_core/routing/profile.py
@@ -1,4 +1,4 @@
-"""What a fleet has learnt of its services, as it is kept for nodes that start."""
+"""The observations of a fleet, as stored for nodes that start."""
 
 from msgspec import Struct, field
 
@@ -6,16 +6,16 @@
 
 
 class LevelProfile(Struct, frozen=True):
-    """Answers of endpoints with so many slots, of which so many were taken.
+    """Response times at one concurrency level of endpoints of one size.
 
     Parameters
     ----------
     slots, level : int
-        Of the endpoint, and taken with the request that was answered.
+        Slots of the endpoint, and slots in use including the answered request.
     answers : float
-        How many answers it stands for.
+        Weighted number of answers.
     mean : float
-        Of the logarithm of an answer's time, divided by its route's usual time.
+        Mean logarithm of the response time, divided by the route's baseline latency.
     """
 
     slots: int
@@ -25,16 +25,16 @@
 
 
 class BaselineLatency(Struct, frozen=True):
-    """How long the answers of one route usually take.
+    """The usual response time of one route.
 
     Parameters
     ----------
     host, method, path : str
-        Of the route; see `Route`.
+        Identify the route; see `Route`.
     answers : float
-        How many answers it stands for.
+        Weighted number of answers.
     mean : float
-        Of the logarithm of an answer's seconds, over all levels.
+        Mean logarithm of the response time in seconds, over all concurrency levels.
     """
 
     host: str
@@ -45,14 +45,14 @@
 
 
 class ServiceProfile(Struct, frozen=True):
-    """What was learnt of one service.
+    """The observations of one service.
 
     Parameters
     ----------
     levels : tuple of LevelProfile
-        How answer times grow with the taken slots.
+        Response times by concurrency level.
     usual_times : tuple of BaselineLatency
-        Of the service's routes.
+        Baseline latencies of the service's routes.
     """
 
     levels: tuple[LevelProfile, ...] = ()
@@ -60,12 +60,12 @@
 
 
 class Profile(Struct, frozen=True):
-    """What was learnt of all services.
+    """The observations of all services.
 
     Parameters
     ----------
     services : dict
-        `ServiceProfile` by service's name.
+        `ServiceProfile` by name of the service.
     """
 
     services: dict[str, ServiceProfile] = field(default_factory=dict)
--- a/packages/hingesill-core/hingesill_core/routing/quantile.py
+++ b/packages/hingesill-core/hingesill_core/routing/quantile.py
@@ -1,28 +1,30 @@
-"""A running quantile that needs no memory of single values."""
+"""A running estimate of a quantile that stores no samples."""
 
 from msgspec import Struct
 
 __all__ = ["Quantile"]
 
-STEP = 0.05
+DEFAULT_STEP = 0.05
 
 
 class Quantile(Struct):
-    """Follows a quantile of what it is told.
+    """Tracks a quantile of a stream of values.
 
     Attributes
     ----------
     share : float
-        Of the values that are below it.
+        Share of the values below the quantile.
+    value : float
+        Current estimate.
     step : float
-        Half of the largest change by one value, as a share of the quantile.
+        Half of the largest change by one value, as a share of the estimate.
     """
 
     share: float = 0.5
     value: float = 1.0
-    step: float = STEP
+    step: float = DEFAULT_STEP
 
-    def note(self, value):
-        """Take one value."""
+    def record(self, value):
+        """Record one value."""
         step = 2 * self.step * self.value
         self.value += step * (self.share if value > self.value else self.share - 1)
--- a/packages/hingesill-core/hingesill_core/routing/retryhandler.py
+++ b/packages/hingesill-core/hingesill_core/routing/retryhandler.py
@@ -1,4 +1,4 @@
-"""What follows a send that brought no answer: another send, or the final answer."""
+"""The handling of a failed send: a retry or the final response."""
 
 from hingesill_core.reasons import RetryReason
 from hingesill_core.retries.decision import classify_refusal, decide_retry
@@ -6,75 +6,75 @@
 
 __all__ = ["RetryHandler"]
 
-# Shortest Retry-After where an endpoint refused a request by chance, in seconds.
-SOON = 0.01
+# Minimum Retry-After where an endpoint refused a request by chance, in seconds.
+MIN_RETRY_AFTER_SECONDS = 0.01
 
 
 class RetryHandler:
-    """The retries of one service.
+    """Handles the retries of one service.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        The service's; its budget of retries is spent.
+        Dispatcher of the service; its retry budget is spent.
     """
 
     def __init__(self, dispatcher):
         self._dispatcher = dispatcher
 
-    def decide(self, ticket, end, now):
-        """Decide what follows a send that brought no answer.
+    def decide(self, ticket, status, now):
+        """Decide what follows a failed send.
 
         Returns
         -------
         tuple
-            The Ask, Send, Hold or Refusal to act on, and the RetryReason that is
-            counted, which is a ``DENIED`` one with a Refusal.
+            The LoadQuery, Send, Queued or Refusal to act on, and the RetryReason to
+            count, which is a ``DENIED`` one with a Refusal.
         """
         p10 = self._dispatcher.get_latency(ticket.route).p10
-        verdict = decide_retry(ticket, end, self._dispatcher.retries, now, p10)
-        if isinstance(verdict, RetryDenied):
-            return self._give_up(ticket, end, now), verdict.reason
-        ask = self._dispatcher.begin_queries(ticket, now)
-        if isinstance(ask, Refusal):
-            return self._find_no_endpoint(ticket, end, now)
-        if ask is not None:
-            return ask, verdict
+        reason = decide_retry(ticket, status, self._dispatcher.retries, now, p10)
+        if isinstance(reason, RetryDenied):
+            return self._refuse(ticket, status, now), reason.reason
+        query = self._dispatcher.begin_queries(ticket, now)
+        if isinstance(query, Refusal):
+            return self._refuse_without_endpoint(ticket, status, now)
+        if query is not None:
+            return query, reason
         send = self._dispatcher.assign(ticket, now)
         if send is not None:
-            return send, verdict
+            return send, reason
         decision = self._dispatcher.queue_or_refuse(ticket, now)
         if isinstance(decision, Refusal):
-            return self._find_no_endpoint(ticket, end, now)
-        return decision, verdict
+            return self._refuse_without_endpoint(ticket, status, now)
+        return decision, reason
 
-    def _find_no_endpoint(self, ticket, end, now):
-        """Return the Refusal of a request for which there is no other endpoint."""
-        if end is not SendStatus.NOT_SENT:
+    def _refuse_without_endpoint(self, ticket, status, now):
+        """Return the Refusal of a request without another eligible endpoint."""
+        if status is not SendStatus.NOT_SENT:
             self._dispatcher.retries.refund()
-        return self._give_up(ticket, end, now), RetryReason.DENIED_NO_ENDPOINT
+        return self._refuse(ticket, status, now), RetryReason.DENIED_NO_ENDPOINT
 
-    def _give_up(self, ticket, end, now):
-        after = self._dispatcher.service_availability.suggest_retry_after(
+    def _refuse(self, ticket, status, now):
+        retry_after = self._dispatcher.service_availability.suggest_retry_after(
             ticket.route, now
         )
-        if after is None and self._is_by_chance(end):
-            after = self._suggest_other_node()
-        if after is None:
-            after = self._dispatcher.suggest_retry_after(ticket.route, now)
-        return classify_refusal(ticket, end, after)
+        if retry_after is None and self._was_refused_with_capacity(status):
+            retry_after = self._suggest_immediate_retry()
+        if retry_after is None:
+            retry_after = self._dispatcher.suggest_retry_after(ticket.route, now)
+        return classify_refusal(ticket, status, retry_after)
 
-    def _is_by_chance(self, end):
-        """Tell whether an endpoint refused a request though there is room."""
-        return end is SendStatus.REFUSED and not self._dispatcher.binding.waiting
+    def _was_refused_with_capacity(self, status):
+        """Return whether an endpoint with capacity refused the request."""
+        return status is SendStatus.REFUSED and not self._dispatcher.binding.waiting
 
-    def _suggest_other_node(self):
-        """Return when to come back after an endpoint refused though it was free.
+    def _suggest_immediate_retry(self):
+        """Return the Retry-After for a refusal by an endpoint with capacity.
 
         Notes
         -----
-        Nobody waits here, so the endpoints have room; what was refused by chance is as
-        likely to be taken now as later, and the caller comes to another node, which may
-        have an extra send left.
+        No request is queued at this node, so the endpoints have capacity. A request
+        refused by chance is as likely to be accepted now as later, and the caller
+        reaches another node, which may have a retry token left.
         """
-        return SOON * (1 + self._dispatcher.rng.random())
+        return MIN_RETRY_AFTER_SECONDS * (1 + self._dispatcher.rng.random())
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
@@ -12,7 +12,7 @@
 from hingesill_core.routing.loadqueries import LoadReply
 from hingesill_core.routing.messages import Send, SendResult, SendStatus, Ticket
 from hingesill_core.routing.tests.test_latebinding import ROUTE, build_service
-from hingesill_core.routing.warmup import WORD_HOLDS, WarmUpLimit
+from hingesill_core.routing.warmup import REPORT_TTL_SECONDS, WarmUpLimit
 
 RATE = 2.5
 FLEET = FleetView("a", 4, 8)
@@ -64,7 +64,7 @@
 
     def test_an_old_word_on_its_warmth_is_none(self):
         self.binding.take(reply("i1", 0, 0.0), 0.0)
-        late = WORD_HOLDS + 0.1
+        late = REPORT_TTL_SECONDS + 0.1
         self.submit(late)
         self.assertIsNone(self.binding.take(reply("i1", 1, None), late + 0.05))
         self.assertIsInstance(self.binding.take(reply("i1", 1, 0.0), late + 0.05), Send)
--- a/packages/hingesill-core/hingesill_core/routing/warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/warmup.py
@@ -1,18 +1,20 @@
-"""How often a node sends to an endpoint that is warming up.
-
-The load: a data centre's endpoints come back at once and cold, right before a burst,
-and callers repeat without a pause. A cold endpoint bears a few requests a second from
-all nodes together and falls over well above that. The nodes cannot agree on who sends
-in time, as its load shifts in milliseconds; so three rules hold at each node by itself:
-
-- It sends only right after the endpoint said that nothing is running there. What it
-  works on then keeps all other nodes away, so that its own pace is the limit.
-- It sends at most as often as the endpoint bears. This alone is the bound of one node.
-- It takes only a share of the chances that its questions bring, so that all nodes
-  together take no more than the endpoint bears, however fast it fails. Where few nodes
-  are busy, or questions are few, the share is whole and nothing is left unused.
-
-Where all endpoints are cold this costs callers: less is used than the endpoints bear.
+"""Limit on the sends of a node to an endpoint that is warming up.
+
+The scenario: the endpoints of a data centre return together and cold, right before a
+burst, and callers retry without a pause. A cold endpoint can serve a few requests a
+second from all nodes together and fails well above that rate. The nodes cannot
+coordinate in time, as load shifts in milliseconds; so each node applies three rules on
+its own:
+
+- It sends only right after the endpoint reported that no request is running there. A
+  running request thus keeps all other nodes away, so that the endpoint's own service
+  time limits the rate.
+- It sends at most at the endpoint's rate. This alone limits the sends of one node.
+- It uses only a share of the opportunities that its load queries yield, so that all
+  nodes together send no more than the endpoint's rate, however fast it fails. Where
+  few nodes are active, or queries are few, the share is 1 and no capacity is unused.
+
+Where all endpoints are cold this costs callers: less capacity is used than exists.
 """
 
 from math import exp
@@ -22,74 +24,76 @@
 __all__ = ["WarmUpLimit"]
 
 # Window in which load queries are counted, in seconds.
-COUNTED_SECONDS = 1.0
-# Time for which an endpoint's report on its warmth is valid, in seconds.
-WORD_HOLDS = 1.0
+QUERY_WINDOW_SECONDS = 1.0
+# Validity of an endpoint's report on its warm-up, in seconds.
+REPORT_TTL_SECONDS = 1.0
 # Share of the rate that all nodes together aim at; the reserve covers random variation
 # and the start of a burst.
-USED_SHARE = 0.7
-# Load queries to an endpoint a second below which the rate is not shared out.
-LEAST_OWN = 0.001
+TARGET_SHARE = 0.7
+# Load queries to an endpoint a second below which the rate is not divided.
+MIN_QUERIES_PER_SECOND = 0.001
 
 
 class WarmUpLimit(Struct):
-    """The part of a cold endpoint's bound that this node takes.
+    """This node's share of the request rate of a cold endpoint.
 
     Attributes
     ----------
     rate : float
-        Requests a second that a cold endpoint bears from all nodes together; 0 if the
-        operator declared none, and then there is no limit.
+        Requests a second that a cold endpoint can serve from all nodes together; 0 if
+        the operator declared none, and then there is no limit.
     nodes : int
-        That share it.
+        Nodes that share the rate.
     endpoints : int
-        Of the service.
-    questions : float
-        Questions of this node in about the last second.
+        Endpoints of the service.
+    queries : float
+        Load queries of this node in about the last second.
     counted_at : float
-        When they were counted, in seconds of the node's clock.
+        Time of that count, in seconds of the node's clock.
     """
 
     rate: float = 0.0
     nodes: int = 1
     endpoints: int = 1
-    questions: float = 0.0
+    queries: float = 0.0
     counted_at: float = 0.0
 
     def configure(self, service, fleet):
-        """Put a declaration and a view of the fleet in force."""
+        """Apply the configuration of the service and the size of the fleet."""
         self.rate = service.warm_up_rate
         self.nodes = max(1, fleet.nodes)
         self.endpoints = max(1, len(service.endpoints))
 
     def record_queries(self, count, now):
-        """Take note of questions that this node asks."""
-        self.questions = self._count_questions(now) + count
+        """Record load queries of this node."""
+        self.queries = self._count_queries(now) + count
         self.counted_at = now
 
-    def _count_questions(self, now):
+    def _count_queries(self, now):
         age = max(0.0, now - self.counted_at)
-        return self.questions * exp(-age / COUNTED_SECONDS)
+        return self.queries * exp(-age / QUERY_WINDOW_SECONDS)
 
     def is_cold(self, state, now):
-        """Tell whether an endpoint is cold, or may be as it did not tell for long."""
+        """Return whether an endpoint is cold, or may be as its report is too old."""
         if not self.rate:
             return False
-        return now < state.warm_at or now - state.warm_up_reported_at > WORD_HOLDS
+        return (
+            now < state.warm_at or now - state.warm_up_reported_at > REPORT_TTL_SECONDS
+        )
 
     def allows(self, state, running, now, rng):
-        """Tell whether this node may send to an endpoint that just told its load.
+        """Return whether this node may send to an endpoint that just reported its load.
 
         Parameters
         ----------
         state : EndpointState
-            Of the endpoint.
+            State of the endpoint.
         running : int
-            Requests that are there, by its fresh word.
+            Requests running there, by that report.
         now : float
             Seconds of the node's clock.
         rng : random.Random
-            Decides which chances are taken.
+            Decides which opportunities are used.
         """
         if not self.is_cold(state, now):
             return True
@@ -98,17 +102,25 @@
         return rng.random() < self._get_share(now)
 
     def _get_share(self, now):
-        """Return which share of the chances is this node's."""
-        own = self._count_questions(now) / self.endpoints / COUNTED_SECONDS
-        return min(1.0, USED_SHARE * self.rate / (self.nodes * max(own, LEAST_OWN)))
+        """Return the share of the opportunities that this node may use."""
+        queries_per_second = (
+            self._count_queries(now) / self.endpoints / QUERY_WINDOW_SECONDS
+        )
+        return min(
+            1.0,
+            TARGET_SHARE
+            * self.rate
+            / (self.nodes * max(queries_per_second, MIN_QUERIES_PER_SECOND)),
+        )
 
     def allows_without_query(self, state, now, rng):
-        """Tell whether this node may send to an endpoint that tells no load.
+        """Return whether this node may send to an endpoint that reports no load.
 
         Notes
         -----
-        Nothing is known but its entry, so each node takes an even part by chance: one
-        request each, saved up while callers rest, would all come at once.
+        Only the endpoint's entry is known, so each node uses an equal share at random.
+        If each node could save up one request while there is no load, all of these
+        could be sent at once.
         """
         if not self.rate:
             return True
--- a/packages/hingesill-node/hingesill_node/datapath/prober.py
+++ b/packages/hingesill-node/hingesill_node/datapath/prober.py
@@ -93,7 +93,7 @@
         state = runner.dispatcher.states.get(address)
         if state is None or state.availability.is_backing_off(runner.clock()):
             return None
-        if share is None or not pacer.take(share, pace, read_boot_time()):
+        if share is None or not pacer.try_acquire(share, pace, read_boot_time()):
             return None
         connection.flush()
         self.counters.add("probes", name)
