--- a/packages/hingesill-core/hingesill_core/routing/baselinelatency.py
+++ b/packages/hingesill-core/hingesill_core/routing/baselinelatency.py
@@ -1,139 +1,140 @@
-"""How long answers usually take, as a measure for single ones."""
+"""Baseline latency per route, to which single response times are compared."""
 
 from math import exp, log
 
 from hingesill_core.routing.concurrencylevels import (
-    FEWEST_ANSWERS,
-    MOST_ANSWERS,
+    MAX_ANSWERS,
+    MIN_ANSWERS,
     ConcurrencyLevel,
     combine,
 )
 from hingesill_core.routing.profile import BaselineLatency
 
-__all__ = ["MOST_RATIO", "BaselineLatencies"]
+__all__ = ["MAX_RATIO", "BaselineLatencies"]
 
-# Smallest ratio to the route's usual time that counts: faster answers did not do the
-# usual work, as after an immediate failure.
-LEAST_RATIO = 1 / 3
-# Upper bound of the slowness of one answer, as a factor of the usual time.
-MOST_RATIO = 3.0
-# Lower bound of an answer's time, in seconds, so that its logarithm is bounded.
-LEAST_SECONDS = 0.0001
+# Minimum ratio to the route's baseline that counts: faster answers did not do the usual
+# work, for example after an immediate failure.
+MIN_RATIO = 1 / 3
+# Upper bound of the ratio of one answer to the baseline.
+MAX_RATIO = 3.0
+# Lower bound of a response time, in seconds, so that its logarithm is bounded.
+MIN_SECONDS = 0.0001
 
 
 class BaselineLatencies:
-    """How long the answers of each route take, over all levels.
+    """Baseline latency of each route, over all concurrency levels.
 
     Notes
     -----
-    It moves slowly on purpose. Sends to fuller endpoints come in bursts, and a value
-    that follows them soon takes a slowdown for a smaller one.
+    The baseline follows changes slowly on purpose. Sends to busier endpoints come in
+    bursts, and a baseline that follows these quickly makes a slowdown look smaller.
     """
 
     def __init__(self):
         self._by_route = {}
-        self._told = set()
-        self._kept = frozenset()
+        self._published = set()
+        self._routes = frozenset()
         self._has_new_answers = False
 
-    def keep(self, routes):
-        """Forget all other routes, and take nothing of them from other nodes."""
-        self._kept = frozenset(get_key(route) for route in routes)
+    def retain(self, routes):
+        """Remove all other routes, and ignore them in reports and profiles."""
+        self._routes = frozenset(get_key(route) for route in routes)
         self._by_route = {
-            key: usual for key, usual in self._by_route.items() if key in self._kept
+            key: baseline
+            for key, baseline in self._by_route.items()
+            if key in self._routes
         }
 
     def take_unreported(self, now):
-        """Return what `build` does; nothing if no answer came since the last call."""
-        had, self._has_new_answers = self._has_new_answers, False
-        return self.build(now) if had else ()
+        """Return the built baselines, or nothing without new answers."""
+        had_new_answers, self._has_new_answers = self._has_new_answers, False
+        return self.build(now) if had_new_answers else ()
 
     def build(self, now):
-        """Return the tuple of BaselineLatency of all routes with answers."""
+        """Return the BaselineLatency of each route with answers."""
         return tuple(
-            BaselineLatency(*key, usual.count(now), usual.mean)
-            for key, usual in sorted(self._by_route.items())
+            BaselineLatency(*key, baseline.count(now), baseline.mean)
+            for key, baseline in sorted(self._by_route.items())
         )
 
     def merge(self, usual_times, now):
-        """Take the times of another node's answers beside the own ones.
+        """Merge another node's baselines into the own ones.
 
         Parameters
         ----------
         usual_times : iterable of BaselineLatency
-            Of that node.
+            Baselines of that node.
         now : float
             Seconds of the node's clock.
         """
-        for told in usual_times:
-            key = (told.host, told.method, told.path)
-            if key in self._kept and told.answers > 0:
-                level = ConcurrencyLevel(
-                    min(MOST_ANSWERS, told.answers), told.mean, now
-                )
+        for item in usual_times:
+            key = (item.host, item.method, item.path)
+            if key in self._routes and item.answers > 0:
+                level = ConcurrencyLevel(min(MAX_ANSWERS, item.answers), item.mean, now)
                 self._by_route[key] = combine((self._by_route.get(key), level), now)
 
     def adopt(self, usual_times, now):
-        """Begin with what the fleet knows of routes of which this node knows little.
+        """Apply published baselines to routes with too few own answers.
 
         Parameters
         ----------
         usual_times : iterable of BaselineLatency
-            Of the fleet.
+            Published baselines.
         now : float
             Seconds of the node's clock.
 
         Notes
         -----
-        A node of a large fleet answers a request of a route in seconds, so it would
-        know what is usual after a minute.
+        A node of a large fleet handles one request of a route in several seconds, so it
+        would need a minute for a baseline of its own.
         """
-        for told in usual_times:
-            key = (told.host, told.method, told.path)
-            if key not in self._kept or told.answers < FEWEST_ANSWERS:
+        for item in usual_times:
+            key = (item.host, item.method, item.path)
+            if key not in self._routes or item.answers < MIN_ANSWERS:
                 continue
-            self._told.add(key)
+            self._published.add(key)
             own = self._by_route.get(key)
-            if own is None or own.answers < FEWEST_ANSWERS:
-                self._by_route[key] = ConcurrencyLevel(FEWEST_ANSWERS, told.mean, now)
+            if own is None or own.answers < MIN_ANSWERS:
+                self._by_route[key] = ConcurrencyLevel(MIN_ANSWERS, item.mean, now)
 
     def has_unpublished(self):
-        """Tell whether enough is known of a route that the fleet does not know."""
+        """Return whether a route with enough answers is not published."""
         return any(
-            usual.answers >= FEWEST_ANSWERS and key not in self._told
-            for key, usual in self._by_route.items()
+            baseline.answers >= MIN_ANSWERS and key not in self._published
+            for key, baseline in self._by_route.items()
         )
 
-    def rate(self, route, seconds, now):
-        """Return an answer's time by the usual time, and let that follow it.
+    def compute_ratio(self, route, seconds, now):
+        """Return the ratio of a response time to the baseline, and update the baseline.
 
         Parameters
         ----------
         route : Route
-            The request's.
+            Route of the request.
         seconds : float
-            From the send to the answer.
+            Time from the send to the answer.
         now : float
             Seconds of the node's clock.
 
         Returns
         -------
         float or None
-            None as long as little is known, or if no usual work was done.
+            None if there are too few answers, or the answer was too fast to have done
+            the usual work.
         """
         self._has_new_answers = True
-        usual = self._by_route.setdefault(get_key(route), ConcurrencyLevel())
-        value = log(max(seconds, LEAST_SECONDS))
-        if usual.answers < FEWEST_ANSWERS:
-            usual.note(value, now)
+        baseline = self._by_route.setdefault(get_key(route), ConcurrencyLevel())
+        value = log(max(seconds, MIN_SECONDS))
+        if baseline.answers < MIN_ANSWERS:
+            baseline.record(value, now)
             return None
-        ratio = exp(value - usual.mean)
-        if ratio < LEAST_RATIO:
+        ratio = exp(value - baseline.mean)
+        if ratio < MIN_RATIO:
             return None
-        usual.note(min(value, usual.mean + log(MOST_RATIO)), now)
+        baseline.record(min(value, baseline.mean + log(MAX_RATIO)), now)
         return ratio
 
 
 def get_key(route):
-    """Return what stays of a route when its limits change."""
+    """Return the part of a route that stays the same when its limits change."""
     return route.host, route.method, route.path
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -60,7 +60,7 @@
         if service.probes.pooled:
             self.budget = self.pool
         self.budget.set_service_budget(service.name, service.probes, fleet.nodes)
-        self.slots.usual_times.keep(service.routes)
+        self.slots.baselines.retain(service.routes)
         self.warm_up.configure(service, fleet)
 
     def enter(self, ticket, now):
--- a/packages/hingesill-core/hingesill_core/routing/latencycurves.py
+++ b/packages/hingesill-core/hingesill_core/routing/latencycurves.py
@@ -1,16 +1,16 @@
-"""How answer times grow with the taken slots, by service and size of endpoint."""
+"""Response times by the number of slots in use, by service and size of endpoint."""
 
 from math import log
 
 from msgspec import Struct, field
 
-from hingesill_core.routing.baselinelatency import MOST_RATIO
+from hingesill_core.routing.baselinelatency import MAX_RATIO
 from hingesill_core.routing.concurrencylevels import (
-    FEWEST_ANSWERS,
-    MOST_ANSWERS,
+    MAX_ANSWERS,
+    MIN_ANSWERS,
     ConcurrencyLevel,
     combine,
-    find_usable,
+    find_concurrency_limit,
 )
 from hingesill_core.routing.profile import LevelProfile
 
@@ -21,42 +21,42 @@
     "merge_level_profiles",
 ]
 
-# Interval at which curves are evaluated, in seconds.
-REVIEW_SECONDS = 0.25
+# Interval at which the concurrency limits are computed again, in seconds.
+UPDATE_SECONDS = 0.25
 
 
 class LatencyCurve(Struct):
-    """How answer times grow with the taken slots of endpoints of one size.
+    """Response times by the number of slots in use, for endpoints of one size.
 
     Attributes
     ----------
     slots : int
-        Of each endpoint.
-    own, reported, told : dict
-        `Level` by the number of taken slots: of the service's answers at this node
-        that no other node knows of, of those that its relay knows of, and of all that
-        the fleet does.
+        Slots of each endpoint.
+    own, reported, published : dict
+        `ConcurrencyLevel` by the number of slots in use: of answers at this node that
+        are not reported yet, of those reported to its relay but not yet published, and
+        of those published to the fleet.
     """
 
     slots: int
     own: dict = field(default_factory=dict)
     reported: dict = field(default_factory=dict)
-    told: dict = field(default_factory=dict)
+    published: dict = field(default_factory=dict)
 
-    def note(self, number, ratio, now):
-        """Take an answer of a send that made so many slots taken."""
-        self.own.setdefault(number, ConcurrencyLevel()).note(
-            log(min(ratio, MOST_RATIO)), now
+    def record(self, number, ratio, now):
+        """Record an answer of a send that brought this many slots into use."""
+        self.own.setdefault(number, ConcurrencyLevel()).record(
+            log(min(ratio, MAX_RATIO)), now
         )
 
     def list_known(self, pooled, now):
-        """Return the levels of which enough is known, by number in rising order.
+        """Return the levels with enough answers, by number in ascending order.
 
         Parameters
         ----------
         pooled : LatencyCurve or None
-            Of all services of the node; it stands in for what is not known of this
-            one.
+            Curve over all services of the node, used for levels without enough answers
+            of this service.
         now : float
             Seconds of the node's clock.
         """
@@ -64,59 +64,59 @@
         numbers = self.list_numbers() | (pooled.list_numbers() if pooled else set())
         for number in sorted(numbers):
             level = self.combine(number, now)
-            if level.answers < FEWEST_ANSWERS and pooled is not None:
+            if level.answers < MIN_ANSWERS and pooled is not None:
                 level = pooled.combine(number, now)
-            if level.answers >= FEWEST_ANSWERS:
+            if level.answers >= MIN_ANSWERS:
                 known[number] = level
         return known
 
     def list_numbers(self):
-        """Return the set of levels of which anything is known."""
-        return self.own.keys() | self.reported.keys() | self.told.keys()
+        """Return the set of levels with any answers."""
+        return self.own.keys() | self.reported.keys() | self.published.keys()
 
     def combine(self, number, now):
-        """Return one Level for own answers and those that others told of."""
-        known = (self.own, self.reported, self.told)
+        """Return one ConcurrencyLevel for own, reported and published answers."""
+        known = (self.own, self.reported, self.published)
         return combine((levels.get(number) for levels in known), now)
 
     def add(self, number, level, now):
-        """Take answers of another node as own ones."""
+        """Add answers of another node to the own ones."""
         self.own[number] = combine((self.own.get(number), level), now)
 
 
 class LatencyCurves:
-    """The curves of one service's endpoints, by their number of slots.
+    """The curves of one service, by the endpoint's number of slots.
 
     Parameters
     ----------
     pooled : LatencyCurves or None
-        Of all services of the node; takes each answer too.
+        Curves over all services of the node; each answer is recorded there too.
     """
 
     def __init__(self, pooled=None):
         self.pooled = pooled
         self.curves = {}
-        self._usable = {}
+        self._limits = {}
 
-    def note(self, number, slots, ratio, now):
-        """Take an answer.
+    def record(self, number, slots, ratio, now):
+        """Record an answer.
 
         Parameters
         ----------
         number : int
-            Slots taken when the request was sent, that one included.
+            Slots in use when the request was sent, including its own.
         slots : int
-            The endpoint's.
+            Slots of the endpoint.
         ratio : float
-            Time of the answer by the route's usual time.
+            Response time divided by the route's baseline latency.
         now : float
             Seconds of the node's clock.
         """
         if not 0 < number <= slots:
             return
-        self._get_curve(slots).note(number, ratio, now)
+        self._get_curve(slots).record(number, ratio, now)
         if self.pooled is not None:
-            self.pooled.note(number, slots, ratio, now)
+            self.pooled.record(number, slots, ratio, now)
 
     def _get_curve(self, slots):
         curve = self.curves.get(slots)
@@ -125,38 +125,38 @@
         return curve
 
     def get_concurrency_limit(self, slots, now):
-        """Return how many of an endpoint's slots are worth taking.
+        """Return the number of an endpoint's slots to use.
 
         Parameters
         ----------
         slots : int
-            The endpoint's.
+            Slots of the endpoint.
         now : float
             Seconds of the node's clock.
         """
-        usable, until = self._usable.get(slots, (slots, now))
+        limit, until = self._limits.get(slots, (slots, now))
         if now >= until:
-            usable = self._find_usable(slots, now)
-            self._usable[slots] = usable, now + REVIEW_SECONDS
-        return usable
+            limit = self._find_concurrency_limit(slots, now)
+            self._limits[slots] = limit, now + UPDATE_SECONDS
+        return limit
 
-    def _find_usable(self, slots, now):
+    def _find_concurrency_limit(self, slots, now):
         pooled = self.pooled.curves.get(slots) if self.pooled is not None else None
         curve = self.curves.get(slots) or LatencyCurve(slots)
-        return find_usable(curve.list_known(pooled, now), slots)
+        return find_concurrency_limit(curve.list_known(pooled, now), slots)
 
     def get_unpublished_share(self, now):
-        """Return the share of the known answers that other nodes do not know of."""
+        """Return the share of the answers that is not published."""
         own = count_answers((curve.own for curve in self.curves.values()), now)
-        told = self.count_published(now)
-        return own / (own + told) if own >= FEWEST_ANSWERS else 0.0
+        published = self.count_published(now)
+        return own / (own + published) if own >= MIN_ANSWERS else 0.0
 
     def count_published(self, now):
-        """Return how many answers the fleet knows of."""
-        return count_answers((curve.told for curve in self.curves.values()), now)
+        """Return the weighted number of published answers."""
+        return count_answers((curve.published for curve in self.curves.values()), now)
 
     def list_levels(self, now):
-        """Return a LevelProfile of all that is known of each level."""
+        """Return the LevelProfiles of all answers."""
         return tuple(
             build_level(slots, number, curve.combine(number, now))
             for slots, curve in sorted(self.curves.items())
@@ -164,15 +164,15 @@
         )
 
     def list_published(self, now):
-        """Return a LevelProfile of what the fleet knows of each level."""
+        """Return the LevelProfiles of the published answers."""
         return tuple(
             build_level(slots, number, level)
             for slots, curve in sorted(self.curves.items())
-            for number, level in sorted(curve.told.items())
+            for number, level in sorted(curve.published.items())
         )
 
     def take_unreported(self, now):
-        """Return a LevelProfile of each level of own answers, now the relay's to tell.
+        """Return the LevelProfiles of own answers and mark these as reported.
 
         Parameters
         ----------
@@ -181,76 +181,76 @@
 
         Notes
         -----
-        They count here until the fleet is told of them.
+        Reported answers count at this node until the next profile is published.
         """
-        news = []
+        unreported = []
         for slots, curve in sorted(self.curves.items()):
             for number, level in sorted(curve.own.items()):
-                news.append(build_level(slots, number, level))
+                unreported.append(build_level(slots, number, level))
                 reported = (curve.reported.get(number), level)
                 curve.reported[number] = combine(reported, now)
             curve.own.clear()
-        return tuple(news)
+        return tuple(unreported)
 
     def merge_report(self, levels, now):
-        """Take another node's answers as own ones.
+        """Add another node's answers to the own ones.
 
         Parameters
         ----------
         levels : iterable of LevelProfile
-            What cannot be is passed over, and a node counts for as many answers as a
-            level remembers at most.
+            Invalid levels are ignored, and the report counts for at most MAX_ANSWERS
+            per level.
         now : float
             Seconds of the node's clock.
         """
-        for told in levels:
-            if 0 < told.level <= told.slots and told.answers > 0:
-                most = log(MOST_RATIO)
-                mean = max(-most, min(most, told.mean))
-                level = ConcurrencyLevel(min(MOST_ANSWERS, told.answers), mean, now)
-                self._get_curve(told.slots).add(told.level, level, now)
+        for item in levels:
+            if 0 < item.level <= item.slots and item.answers > 0:
+                max_mean = log(MAX_RATIO)
+                mean = max(-max_mean, min(max_mean, item.mean))
+                level = ConcurrencyLevel(min(MAX_ANSWERS, item.answers), mean, now)
+                self._get_curve(item.slots).add(item.level, level, now)
 
     def adopt(self, levels, now):
-        """Take what the fleet has learnt of this service.
+        """Apply the published observations of this service.
 
         Parameters
         ----------
         levels : iterable of LevelProfile
-            They take the place of the same levels told before.
+            They replace the same levels published before.
         now : float
             Seconds of the node's clock.
         """
-        for told in levels:
-            level = ConcurrencyLevel(min(MOST_ANSWERS, told.answers), told.mean, now)
-            self._get_curve(told.slots).told[told.level] = level
+        for item in levels:
+            level = ConcurrencyLevel(min(MAX_ANSWERS, item.answers), item.mean, now)
+            self._get_curve(item.slots).published[item.level] = level
         for curve in self.curves.values():
             curve.reported.clear()
-        self._usable.clear()
+        self._limits.clear()
 
     def mark_published(self, levels, now):
-        """Note that other nodes know of all own answers by some LevelProfiles."""
+        """Mark all own answers as published in the given LevelProfiles."""
         for curve in self.curves.values():
             curve.own.clear()
         self.adopt(levels, now)
 
 
 def build_level(slots, number, level):
-    """Return the LevelProfile of a Level."""
+    """Return the LevelProfile of a ConcurrencyLevel."""
     return LevelProfile(slots, number, level.answers, level.mean)
 
 
 def count_answers(curves, now):
-    """Return how many answers the levels of several curves stand for."""
+    """Return the weighted number of answers of several curves."""
     return sum(level.count(now) for levels in curves for level in levels.values())
 
 
 def merge_level_profiles(profiles):
-    """Return the LevelProfiles of the answers of several ServiceProfiles."""
+    """Return the merged LevelProfiles of several ServiceProfiles."""
     groups = {}
     for profile in profiles:
-        for told in profile.levels:
-            level = ConcurrencyLevel(told.answers, told.mean)
-            groups.setdefault((told.slots, told.level), []).append(level)
+        for item in profile.levels:
+            level = ConcurrencyLevel(item.answers, item.mean)
+            groups.setdefault((item.slots, item.level), []).append(level)
     pooled = {key: combine(levels, 0.0) for key, levels in groups.items()}
     return tuple(
         build_level(slots, number, level)
@@ -259,7 +259,7 @@
 
 
 def compute_concurrency_limits(levels):
-    """Return what LevelProfiles say: the usable slots by the endpoint's slots."""
+    """Return the concurrency limit by the endpoint's slots, from LevelProfiles."""
     curves = LatencyCurves()
     curves.adopt(levels, 0.0)
     return {slots: curves.get_concurrency_limit(slots, 0.0) for slots in curves.curves}
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_concurrencylevels.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_concurrencylevels.py
@@ -6,13 +6,13 @@
 from msgspec.structs import replace
 
 from hingesill_core.configuration.services import Route
-from hingesill_core.routing.baselinelatency import MOST_RATIO, BaselineLatencies
+from hingesill_core.routing.baselinelatency import MAX_RATIO, BaselineLatencies
 from hingesill_core.routing.concurrencylevels import (
-    FEWEST_ANSWERS,
-    HALF_LIFE,
-    MOST_ANSWERS,
+    HALF_LIFE_SECONDS,
+    MAX_ANSWERS,
+    MIN_ANSWERS,
 )
-from hingesill_core.routing.concurrencymodel import SETTLED_ANSWERS, ConcurrencyModel
+from hingesill_core.routing.concurrencymodel import STABLE_ANSWERS, ConcurrencyModel
 from hingesill_core.routing.latencycurves import LatencyCurves, merge_level_profiles
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.loadqueries import Stage, is_good_enough
@@ -27,7 +27,7 @@
     curves = LatencyCurves()
     for turn in range(answers):
         for level, ratio in enumerate(times, 1):
-            curves.note(level, slots, ratio, turn / 10)
+            curves.record(level, slots, ratio, turn / 10)
     return curves
 
 
@@ -64,18 +64,18 @@
     def test_a_level_that_looks_faster_than_lower_ones_counts_with_them(self):
         curves = build_curves(6, (1, 1, 1, 1, 1.7, 1.7))
         for turn in range(8):
-            curves.note(6, 6, 0.7, LATER)
+            curves.record(6, 6, 0.7, LATER)
         self.assertEqual(curves.get_concurrency_limit(6, LATER), 4)
 
     def test_few_answers_say_nothing(self):
-        curves = build_curves(3, (1, 1, 9.0), FEWEST_ANSWERS - 1)
+        curves = build_curves(3, (1, 1, 9.0), MIN_ANSWERS - 1)
         self.assertEqual(curves.get_concurrency_limit(3, LATER), 3)
 
     def test_a_level_that_is_no_longer_used_is_tried_again(self):
         curves = build_curves(3, (1, 1, 1.7))
-        later = LATER + 10 * HALF_LIFE
+        later = LATER + 10 * HALF_LIFE_SECONDS
         for turn in range(60):
-            curves.note(2, 3, 1.0, later)
+            curves.record(2, 3, 1.0, later)
         self.assertEqual(curves.get_concurrency_limit(3, LATER), 2)
         self.assertEqual(curves.get_concurrency_limit(3, later), 3)
 
@@ -86,22 +86,24 @@
     def test_what_cannot_be_is_passed_over(self):
         curves = LatencyCurves()
         for level in (0, 4):
-            curves.note(level, 3, 1.0, 0.0)
+            curves.record(level, 3, 1.0, 0.0)
         self.assertEqual(curves.curves, {})
 
 
 class UsualTimesTests(unittest.TestCase):
     def rate_all(self, seconds):
         times = BaselineLatencies()
-        return [times.rate(build_route("route"), item, 0.0) for item in seconds]
+        return [
+            times.compute_ratio(build_route("route"), item, 0.0) for item in seconds
+        ]
 
     def test_the_first_answers_only_tell_what_is_usual(self):
-        ratios = self.rate_all([0.2] * (FEWEST_ANSWERS + 1))
-        self.assertEqual(ratios[:-1], [None] * FEWEST_ANSWERS)
+        ratios = self.rate_all([0.2] * (MIN_ANSWERS + 1))
+        self.assertEqual(ratios[:-1], [None] * MIN_ANSWERS)
         self.assertAlmostEqual(ratios[-1], 1.0)
 
     def test_answers_without_work_are_left_out(self):
-        ratios = self.rate_all([0.2] * FEWEST_ANSWERS + [0.003, 0.0, 0.2])
+        ratios = self.rate_all([0.2] * MIN_ANSWERS + [0.003, 0.0, 0.2])
         self.assertEqual(ratios[-3:-1], [None, None])
         self.assertAlmostEqual(ratios[-1], 1.0)
 
@@ -111,19 +113,19 @@
 
     def test_routes_that_are_gone_are_forgotten(self):
         times = BaselineLatencies()
-        for _ in range(FEWEST_ANSWERS):
-            times.rate(build_route("old"), 0.2, 0.0)
-            times.rate(build_route("new"), 0.2, 0.0)
-        times.keep([build_route("new")])
-        self.assertIsNone(times.rate(build_route("old"), 0.2, 0.0))
-        self.assertIsNotNone(times.rate(build_route("new"), 0.2, 0.0))
+        for _ in range(MIN_ANSWERS):
+            times.compute_ratio(build_route("old"), 0.2, 0.0)
+            times.compute_ratio(build_route("new"), 0.2, 0.0)
+        times.retain([build_route("new")])
+        self.assertIsNone(times.compute_ratio(build_route("old"), 0.2, 0.0))
+        self.assertIsNotNone(times.compute_ratio(build_route("new"), 0.2, 0.0))
 
     def test_routes_have_their_own(self):
         times = BaselineLatencies()
-        for _ in range(FEWEST_ANSWERS):
-            times.rate(build_route("fast"), 0.1, 0.0)
-            times.rate(build_route("slow"), 1.0, 0.0)
-        self.assertAlmostEqual(times.rate(build_route("slow"), 1.0, 0.0), 1.0)
+        for _ in range(MIN_ANSWERS):
+            times.compute_ratio(build_route("fast"), 0.1, 0.0)
+            times.compute_ratio(build_route("slow"), 1.0, 0.0)
+        self.assertAlmostEqual(times.compute_ratio(build_route("slow"), 1.0, 0.0), 1.0)
 
 
 class SharedCurvesTests(unittest.TestCase):
@@ -139,7 +141,7 @@
         started.adopt(build_curves(6, (1, 1, 1, 1, 1.7, 1.7), 12).list_levels(6.0), 0)
         for turn in range(200):
             for level in (4, 5, 6):
-                started.note(level, 6, 1.0, turn / 100)
+                started.record(level, 6, 1.0, turn / 100)
         self.assertEqual(started.get_concurrency_limit(6, 2.0), 6)
 
     def test_few_answers_of_several_nodes_are_enough_together(self):
@@ -163,7 +165,7 @@
         busy, quiet = LatencyCurves(pooled), LatencyCurves(pooled)
         for turn in range(60):
             for level, ratio in ((1, 1), (2, 1), (3, 1.7)):
-                busy.note(level, 3, ratio, turn / 10)
+                busy.record(level, 3, ratio, turn / 10)
         self.assertEqual(quiet.get_concurrency_limit(3, LATER), 2)
 
     def test_a_started_node_knows_of_services_by_what_others_learnt_of_all(self):
@@ -184,7 +186,7 @@
     def build_knowledge(self):
         """Return what a node knows that has just started."""
         knowledge = ConcurrencyModel()
-        knowledge.usual_times.keep([self.ROUTE])
+        knowledge.baselines.retain([self.ROUTE])
         return knowledge
 
     def learn(self, slots, answers):
@@ -220,9 +222,9 @@
         self.assertEqual(node.get_concurrency_limit(3, 9.5), 3)
 
     def test_settled_levels_are_told_again_only_if_they_say_something_else(self):
-        half = SETTLED_ANSWERS / 2
+        half = STABLE_ANSWERS / 2
         levels = tuple(LevelProfile(3, number, half, 0.0) for number in (1, 2, 3))
-        slower = levels[:2] + (LevelProfile(3, 3, half, log(MOST_RATIO)),)
+        slower = levels[:2] + (LevelProfile(3, 3, half, log(MAX_RATIO)),)
         for news, should_publish in ((levels, False), (slower, True)):
             node = ConcurrencyModel()
             node.adopt(ServiceProfile(levels), 0.0)
@@ -240,23 +242,23 @@
         wild = (LevelProfile(3, 1, 1e9, 99.0),)
         node.merge_report(ServiceProfile(wild), 0.0)
         (level,) = node.curves.list_levels(0.0)
-        self.assertEqual(level.answers, MOST_ANSWERS)
-        self.assertAlmostEqual(level.mean, log(MOST_RATIO))
+        self.assertEqual(level.answers, MAX_ANSWERS)
+        self.assertAlmostEqual(level.mean, log(MAX_RATIO))
 
     def test_routes_that_are_not_declared_are_not_taken(self):
         relay = self.build_knowledge()
         told = BaselineLatency("", "", "/other/", 50.0, 0.0)
         relay.merge_report(ServiceProfile(usual_times=(told,)), 0.0)
         relay.adopt(ServiceProfile(usual_times=(told,)), 0.0)
-        self.assertEqual(relay.usual_times.build(0.0), ())
+        self.assertEqual(relay.baselines.build(0.0), ())
 
     def test_a_route_with_another_limit_is_the_same_route(self):
         times = BaselineLatencies()
-        for _ in range(FEWEST_ANSWERS):
-            times.rate(self.ROUTE, 0.2, 0.0)
+        for _ in range(MIN_ANSWERS):
+            times.compute_ratio(self.ROUTE, 0.2, 0.0)
         changed = replace(self.ROUTE, timeout=5.0)
-        times.keep([changed])
-        self.assertIsNotNone(times.rate(changed, 0.2, 0.0))
+        times.retain([changed])
+        self.assertIsNotNone(times.compute_ratio(changed, 0.2, 0.0))
 
 
 class UsableSlotsTests(unittest.TestCase):
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_profiles.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_profiles.py
@@ -40,7 +40,7 @@
     def learn(self, answers):
         for _ in range(answers):
             for level, ratio in ((1, 1.0), (2, 1.0), (3, 1.7)):
-                self.slots.curves.note(level, 3, ratio, 0.0)
+                self.slots.curves.record(level, 3, ratio, 0.0)
 
     def list_unpublished(self):
         return ["busy"] if self.slots.should_publish(0.0) else []
