--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 STAMP := $(VENV)/installed
 export PYTHONDONTWRITEBYTECODE := 1
 
-.PHONY: help install generate docs lint format test demo bench matrix soak platform-soak model-check clean
+.PHONY: help install generate docs lint format test demo bench matrix soak platform-soak mixed model-check clean
 
 help: ## List the commands.
 	@grep -E '^[a-z-]+:.*##' Makefile | sed 's/:.*##/:/'
@@ -52,6 +52,9 @@
 platform-soak: $(STAMP) ## Run fresh seeds against the platform's program: SEEDS=20, or SEED=7.
 	PYTHONPATH=platform $(RUN) -W ignore -m adapter.tests.platformsoak $(if $(SEED),--seed=$(SEED),--seeds=$(or $(SEEDS),10))
 
+mixed: $(STAMP) ## Run this build beside an older one: make mixed BASE=<commit>.
+	PYTHONPATH=platform $(RUN) -W ignore -m mixed.main --base=$(BASE)
+
 model-check: $(STAMP) ## Check the specification of the protocol.
 	$(RUN) -m model.main
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -177,9 +177,17 @@
         wait=True,
         mutation="",
         can_suspend=False,
+        program=(str(BIN / "hingesilld"),),
+        environment=None,
         **settings,
     ):
-        """Start a node, or a mutation of one; return it once it is ready."""
+        """Start a node, or a mutation of one; return it once it is ready.
+
+        Notes
+        -----
+        ``program`` is what is run, ``environment`` its whole environment (this
+        process's own if None).
+        """
         ports = [find_free_port() for _ in range(3)]
         address, control, admin = (f"127.0.0.1:{port}" for port in ports)
         values = {
@@ -196,7 +204,7 @@
         log = self.folder / f"{name}.log"
         suspension = Suspension(self.folder / f"{name}.clock")
         with log.open("wb") as output:
-            program = [str(BIN / "hingesilld")]
+            program = list(program)
             if can_suspend:
                 program = suspension.wrap(*program)
             if mutation:
@@ -205,6 +213,7 @@
                 program + [f"--{key}={value}" for key, value in values.items()],
                 stderr=output,
                 stdout=output,
+                env=environment,
             )
         holds = "some" if settings.get("services") else "all"
         node = NodeProcess(
