--- a/matrix/mutant.py
+++ b/matrix/mutant.py
@@ -78,14 +78,14 @@
 @MUTATIONS.register("ignores drains")
 def ignore_drains():
     """Send to endpoints that are leaving."""
-    has_place = EndpointState.has_place
+    has_capacity = EndpointState.has_capacity
 
-    def has_place_anyway(self, ticket, now):
+    def has_capacity_anyway(self, ticket, now):
         self.draining_until = 0.0
         self.availability.leaving_until = float("-inf")
-        return has_place(self, ticket, now)
+        return has_capacity(self, ticket, now)
 
-    EndpointState.has_place = has_place_anyway
+    EndpointState.has_capacity = has_capacity_anyway
     EndpointState.is_draining = lambda self, now: False
 
 
--- a/packages/hingesill-core/hingesill_core/probing/probetarget.py
+++ b/packages/hingesill-core/hingesill_core/probing/probetarget.py
@@ -26,7 +26,7 @@
     not heard of for a while although the service is in use. A service without
     traffic is not probed at all: there is no caller whom it would help.
     """
-    if now - dispatcher.last_submit > BUSY_SECONDS:
+    if now - dispatcher.last_submit_at > BUSY_SECONDS:
         return None
     best = None
     longest = UNHEARD_SECONDS
@@ -39,7 +39,7 @@
             continue
         if state.health.is_trial_due(now):
             return state.identity
-        unheard = now - max(state.last_heard or 0.0, state.last_probe)
-        if state.health.is_open() and unheard > longest:
+        unheard = now - max(state.last_response_at or 0.0, state.last_probe_at)
+        if state.health.accepts_traffic() and unheard > longest:
             best, longest = state.identity, unheard
     return best
--- a/packages/hingesill-core/hingesill_core/probing/tests/test_probetarget.py
+++ b/packages/hingesill-core/hingesill_core/probing/tests/test_probetarget.py
@@ -25,7 +25,7 @@
 
     def note(self, rest, leaving, now):
         for address in ADDRESSES[1:]:
-            self.dispatcher.service_availability.note(address, 0, rest, leaving, now)
+            self.dispatcher.service_availability.record(address, 0, rest, leaving, now)
 
     def test_an_endpoint_at_rest_is_not_probed(self):
         self.note(RequestedBackoff(30.0), False, 10.0)
--- a/packages/hingesill-core/hingesill_core/routing/availability.py
+++ b/packages/hingesill-core/hingesill_core/routing/availability.py
@@ -18,17 +18,17 @@
 # Upper bound of a rest, in seconds.
 MAX_BACKOFF_SECONDS = 600.0
 # Rest that is assumed where its length cannot be parsed, in seconds.
-UNREADABLE_SECONDS = 1.0
+INVALID_BACKOFF_SECONDS = 1.0
 # Time for which an address counts as leaving, in seconds, where it identifies no life.
-LEAVE_HOLDS = 30.0
+LEAVING_SECONDS = 30.0
 # Remaining part of that time in which the endpoint is probed, in seconds.
-LEAVE_RENEWAL = 10.0
+LEAVING_RENEWAL_SECONDS = 10.0
 # Time for which a leaving life is remembered, in seconds.
-REMEMBERED_SECONDS = 3600.0
+RETENTION_SECONDS = 3600.0
 # Most lives that are remembered without being in the directory.
-MOST_REMEMBERED = 65_536
+MAX_RETAINED_INCARNATIONS = 65_536
 # Interval of clean-ups, in seconds.
-CLEAN_UP_PAUSE = 10.0
+CLEAN_UP_INTERVAL_SECONDS = 10.0
 
 
 class RequestedBackoff(Struct, frozen=True):
@@ -47,7 +47,7 @@
 
 
 NO_BACKOFF = RequestedBackoff(0.0)
-INVALID_BACKOFF = RequestedBackoff(UNREADABLE_SECONDS, is_valid=False)
+INVALID_BACKOFF = RequestedBackoff(INVALID_BACKOFF_SECONDS, is_valid=False)
 
 
 class AvailabilityChange(Struct, frozen=True):
@@ -79,16 +79,16 @@
     ----------
     backoff_until : float
         It asked to be left alone until then, in seconds of the node's clock.
-    leaving_until, told_at : float
+    leaving_until, leaving_reported_at : float
         Until when it counts as leaving, and when it last said so, on the same clock.
-    names_life : bool
+    has_instance_id : bool
         Its identity is that of one life, which does not come back once it has left.
     """
 
     backoff_until: float = -inf
     leaving_until: float = -inf
-    told_at: float = -inf
-    names_life: bool = False
+    leaving_reported_at: float = -inf
+    has_instance_id: bool = False
 
     def record_backoff(self, seconds, now):
         """Take a rest that the endpoint asks for; the longest end stands.
@@ -118,10 +118,10 @@
         now : float
             When the answer was read, in seconds of the node's clock.
         """
-        is_news = not self.is_leaving(now)
-        self.told_at = now
-        self.leaving_until = inf if self.names_life else now + LEAVE_HOLDS
-        return is_news
+        is_new = not self.is_leaving(now)
+        self.leaving_reported_at = now
+        self.leaving_until = inf if self.has_instance_id else now + LEAVING_SECONDS
+        return is_new
 
     def is_leaving(self, now):
         """Tell whether the endpoint said that it is leaving."""
@@ -129,7 +129,9 @@
 
     def needs_leave_renewal(self, now):
         """Tell whether it has to be asked soon whether it is still leaving."""
-        return self.is_leaving(now) and self.leaving_until - now < LEAVE_RENEWAL
+        return (
+            self.is_leaving(now) and self.leaving_until - now < LEAVING_RENEWAL_SECONDS
+        )
 
     def is_backing_off(self, now):
         """Tell whether the endpoint wants nothing from this node."""
@@ -139,9 +141,12 @@
         """Tell whether a request may be sent there."""
         return now >= self.backoff_until and now >= self.leaving_until
 
-    def is_worth_keeping(self, now):
+    def should_retain(self, now):
         """Tell whether it may still say something on a life that comes back."""
-        return self.is_backing_off(now) or now - self.told_at < REMEMBERED_SECONDS
+        return (
+            self.is_backing_off(now)
+            or now - self.leaving_reported_at < RETENTION_SECONDS
+        )
 
 
 class AvailabilityRegistry:
@@ -154,7 +159,7 @@
 
     Attributes
     ----------
-    names_lives : bool
+    has_instance_ids : bool
         Identities are no addresses, which other endpoints may have later.
 
     Notes
@@ -165,9 +170,9 @@
 
     def __init__(self, observe=lambda change: None):
         self.observe = observe
-        self.names_lives = False
+        self.has_instance_ids = False
         self._known = WeakValueDictionary()
-        self._remembered = {}
+        self._retained = {}
         self._clean_up_at = -inf
 
     def get(self, identity, born):
@@ -183,7 +188,9 @@
         key = (identity, born)
         availability = self._known.get(key)
         if availability is None:
-            availability = self._known[key] = Availability(names_life=self.names_lives)
+            availability = self._known[key] = Availability(
+                has_instance_id=self.has_instance_ids
+            )
         return availability
 
     def record_backoff(self, service, identity, born, backoff, now):
@@ -203,9 +210,9 @@
         if not backoff.seconds:
             return
         availability = self.get(identity, born)
-        self._remember((identity, born), availability, now)
+        self._retain((identity, born), availability, now)
         if availability.record_backoff(backoff.seconds, now):
-            self._tell(service, identity, born, backoff.seconds)
+            self._publish_change(service, identity, born, backoff.seconds)
 
     def record_leaving(self, service, identity, born, now):
         """Note that a life is leaving by its own answer.
@@ -220,36 +227,36 @@
             When the answer was read, in seconds of the node's clock.
         """
         availability = self.get(identity, born)
-        self._remember((identity, born), availability, now)
+        self._retain((identity, born), availability, now)
         if availability.record_leaving(now):
-            self._tell(service, identity, born, None)
+            self._publish_change(service, identity, born, None)
 
-    def _tell(self, service, identity, born, backoff):
+    def _publish_change(self, service, identity, born, backoff):
         availability = self.get(identity, born)
         change = AvailabilityChange(service, identity, born, backoff, availability)
         self.observe(change)
 
     @property
-    def has_words(self):
+    def has_retained(self):
         """Whether any life said something lately."""
-        return bool(self._remembered)
+        return bool(self._retained)
 
     def count_backing_off(self, now):
         """Return how many lives want nothing from this node now."""
-        return sum(held.is_backing_off(now) for held in self._remembered.values())
+        return sum(item.is_backing_off(now) for item in self._retained.values())
 
     def count_leaving(self, now):
         """Return how many lives are leaving by their own word."""
-        return sum(held.is_leaving(now) for held in self._remembered.values())
+        return sum(item.is_leaving(now) for item in self._retained.values())
 
-    def _remember(self, key, availability, now):
+    def _retain(self, key, availability, now):
         """Keep what a life said though nothing else refers to it."""
         if now >= self._clean_up_at:
-            self._clean_up_at = now + CLEAN_UP_PAUSE
-            self._remembered = {
-                key: held
-                for key, held in self._remembered.items()
-                if held.is_worth_keeping(now)
+            self._clean_up_at = now + CLEAN_UP_INTERVAL_SECONDS
+            self._retained = {
+                key: item
+                for key, item in self._retained.items()
+                if item.should_retain(now)
             }
-        if len(self._remembered) < MOST_REMEMBERED:
-            self._remembered[key] = availability
+        if len(self._retained) < MAX_RETAINED_INCARNATIONS:
+            self._retained[key] = availability
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -22,7 +22,7 @@
 
 __all__ = ["Dispatcher"]
 
-OTHER_DATA_CENTRE = 0.003
+CROSS_DATA_CENTRE_RTT_SECONDS = 0.003
 
 
 class Dispatcher:
@@ -59,18 +59,18 @@
         self.rng = rng
         self.availabilities = availabilities or AvailabilityRegistry()
         self.states = {}
-        self.view = ServiceView()
-        self.last_submit = float("-inf")
+        self.service_view = ServiceView()
+        self.last_submit_at = float("-inf")
         self.queue = RequestQueue(service.queue_limit)
-        self._displaced = []
-        self.pace = LatencyEstimate()
-        self.paces = {}
+        self._evicted = []
+        self.latency = LatencyEstimate()
+        self.latencies = {}
         self.hedging = Hedging(self, service.sends.hedge_share)
         self.retries = TokenBudget(service.sends.retry_share)
         self.retrying = RetryHandler(self)
         self.service_availability = ServiceAvailability(self)
         self.limits = limits or ServiceLimits(service.name, rng)
-        self.limits.usable = self._takes_work
+        self.limits.usable = self._accepts_work
         self.limited_requests = LimitedRequests(self)
         self.binding = LateBinding(self, query_pool or QueryBudget(), curves)
         self.configure(service, fleet)
@@ -92,16 +92,18 @@
         self.retries.set_share(service.sends.retry_share, bursts.retries)
         self.binding.configure(service, fleet)
         if any(endpoint.instance for endpoint in service.endpoints):
-            self.availabilities.names_lives = True
+            self.availabilities.has_instance_ids = True
         self.states = {
             endpoint.identity: self._build_state(endpoint)
             for endpoint in service.endpoints
         }
         self.limits.grant_client.nodes = fleet.nodes
         self.limits.keep({name: state.born for name, state in self.states.items()})
-        self.places = sum(state.send_limit for state in self.states.values())
-        self.paces = {
-            route: pace for route, pace in self.paces.items() if route in service.routes
+        self.total_send_limit = sum(state.send_limit for state in self.states.values())
+        self.latencies = {
+            route: latency
+            for route, latency in self.latencies.items()
+            if route in service.routes
         }
 
     def _build_state(self, endpoint):
@@ -109,7 +111,9 @@
         # One that started again holds and knows nothing of what was sent before.
         if state is None or state.born != endpoint.born:
             born = endpoint.born
-            state = EndpointState(endpoint.identity, common=self.view, born=born)
+            state = EndpointState(
+                endpoint.identity, service_view=self.service_view, born=born
+            )
             state.availability = self.availabilities.get(endpoint.identity, born)
         near = endpoint.data_centre == self.fleet.data_centre
         state.limits = self.limits
@@ -122,7 +126,7 @@
         )
         return state
 
-    def _takes_work(self, endpoint, now):
+    def _accepts_work(self, endpoint, now):
         """Tell whether an endpoint takes new work, whatever limit it names."""
         state = self.states.get(endpoint)
         if state is None or not takes_work(state, now):
@@ -146,10 +150,10 @@
 
     def get_latency(self, route):
         """Return how long the answers of a route take."""
-        pace = self.paces.get(route)
-        if pace is None:
-            pace = self.paces[route] = LatencyEstimate()
-        return pace
+        latency = self.latencies.get(route)
+        if latency is None:
+            latency = self.latencies[route] = LatencyEstimate()
+        return latency
 
     def submit(self, ticket, now):
         """Take a new request.
@@ -159,21 +163,21 @@
         Ask, Send, Hold or Refusal
             Whom to ask first, where to send it, to hold it, or its final answer.
         """
-        self.last_submit = now
+        self.last_submit_at = now
         self.hedging.budget.earn()
         self.retries.earn()
-        ask = self.begin_queries(ticket, now)
-        if ask is not None:
-            return ask
-        return self.dispatch_unasked(ticket, now)
+        query = self.begin_queries(ticket, now)
+        if query is not None:
+            return query
+        return self.dispatch_without_query(ticket, now)
 
     def begin_queries(self, ticket, now):
         """Return an Ask or a Refusal, or None if this service does not ask."""
         if self.service.policy != FRESH_REPORT_POLICY:
             return None
-        return self.binding.enter(ticket, now)
+        return self.binding.add_request(ticket, now)
 
-    def dispatch_unasked(self, ticket, now):
+    def dispatch_without_query(self, ticket, now):
         """Choose by what is known already; return Send, Hold or Refusal."""
         if ticket.route.live or not self.queue.get_first(live=True):
             send = self.assign(ticket, now)
@@ -183,7 +187,7 @@
 
     def queue_or_refuse(self, ticket, now):
         """Return Hold if a request can wait and still be in time, else its Refusal."""
-        if not self.has_takers(ticket.route, now):
+        if not self.has_eligible_endpoint(ticket.route, now):
             return self.refuse(ticket, RefusalReason.NO_ENDPOINT, now)
         refusal = self.service_availability.find_refusal(ticket, now)
         if refusal is not None:
@@ -191,22 +195,22 @@
         if self.limits.limited and self.limited_requests.is_surplus(ticket, now):
             return self.refuse(ticket, RefusalReason.ENDPOINTS_LIMITED, now)
         ahead = self.queue.count_ahead(ticket)
-        wait = self.pace.estimate_queue_time(ahead, self.places)
+        wait = self.latency.estimate_queue_time(ahead, self.total_send_limit)
         if now + wait + self.get_latency(ticket.route).p10 > ticket.deadline:
             return self.refuse(ticket, RefusalReason.DEADLINE_UNREACHABLE, now)
-        if not self._make_room(ticket):
+        if not self._ensure_queue_capacity(ticket):
             return self.refuse(ticket, RefusalReason.QUEUE_FULL, now)
         self.queue.add(ticket)
         return Queued()
 
-    def _make_room(self, ticket):
+    def _ensure_queue_capacity(self, ticket):
         """Tell whether the queue can take a ticket; a live one displaces others."""
         if len(self.queue) < self.queue.limit:
             return True
-        displaced = self.queue.evict_deferrable() if ticket.route.live else None
-        if displaced is None:
+        evicted = self.queue.evict_deferrable() if ticket.route.live else None
+        if evicted is None:
             return False
-        self._displaced.append(displaced)
+        self._evicted.append(evicted)
         return True
 
     def refuse(self, ticket, reason, now):
@@ -215,7 +219,7 @@
         if reason is RefusalReason.ENDPOINTS_LIMITED:
             wait = self.limits.grant_client.get_wait(now)
             return Refusal(
-                reason, outcome, self.pace.suggest_retry_after(wait, self.rng)
+                reason, outcome, self.latency.suggest_retry_after(wait, self.rng)
             )
         return Refusal(reason, outcome, self.suggest_retry_after(ticket.route, now))
 
@@ -226,13 +230,15 @@
             return backoff
         wait = self.binding.estimate_wait(now)
         if not wait:
-            wait = self.pace.estimate_queue_time(len(self.queue), self.places)
-        return self.pace.suggest_retry_after(wait, self.rng)
+            wait = self.latency.estimate_queue_time(
+                len(self.queue), self.total_send_limit
+            )
+        return self.latency.suggest_retry_after(wait, self.rng)
 
-    def has_takers(self, route, now):
+    def has_eligible_endpoint(self, route, now):
         """Tell whether any endpoint takes a route's new work, busy or not."""
         return any(
-            state.is_home_of(route)
+            state.serves_route(route)
             and not state.is_draining(now)
             and not state.health.is_ejected(now)
             for state in self.states.values()
@@ -253,7 +259,7 @@
     def _is_free(self, state, ticket, now):
         """Tell whether an endpoint may get a request by what is known already."""
         warm_up = self.binding.warm_up
-        if not state.has_place(ticket, now):
+        if not state.has_capacity(ticket, now):
             return False
         return warm_up.allows_without_query(state, now, self.rng)
 
@@ -267,7 +273,7 @@
         ticket.tried.append(state.identity)
         return send
 
-    def pump(self, now):
+    def dispatch_queued(self, now):
         """Yield a Send for each held request that can go now."""
         if self.limits.limited:
             patience = max((t.deadline - now for t in self.queue), default=0.0)
@@ -292,7 +298,7 @@
         deferrable ones once a live one has taken their place.
         """
         for ticket in list(self.queue):
-            refusal = self._find_final(ticket, now)
+            refusal = self._find_final_refusal(ticket, now)
             if refusal is not None:
                 self.queue.remove(ticket)
                 yield ticket, refusal
@@ -302,23 +308,23 @@
                 self.queue.remove(ticket)
                 reason = RefusalReason.ENDPOINTS_LIMITED
                 yield ticket, self.refuse(ticket, reason, now)
-        while self._displaced:
-            ticket = self._displaced.pop()
+        while self._evicted:
+            ticket = self._evicted.pop()
             yield ticket, self.refuse(ticket, RefusalReason.DISPLACED, now)
 
-    def _find_final(self, ticket, now):
+    def _find_final_refusal(self, ticket, now):
         """Return the Refusal of a held request that cannot be served, or None."""
-        if not self.has_takers(ticket.route, now):
+        if not self.has_eligible_endpoint(ticket.route, now):
             return self.refuse(ticket, RefusalReason.NO_ENDPOINT, now)
         if now + self.get_latency(ticket.route).p10 > ticket.deadline:
             return self.refuse(ticket, RefusalReason.DEADLINE_UNREACHABLE, now)
         return self.service_availability.find_refusal(ticket, now)
 
-    def abandon(self, ticket):
+    def remove_queued(self, ticket):
         """Forget a held request whose caller is gone."""
         self.queue.remove(ticket)
 
-    def settle(self, send, result, now):
+    def complete_send(self, send, result, now):
         """Take the end of a send and learn from it.
 
         Parameters
@@ -336,16 +342,16 @@
             return
         state.finish(send)
         seconds = now - send.started
-        state.learn(result, seconds, send.expected, now)
-        self._learn_pace(send, result, seconds)
+        state.record_result(result, seconds, send.expected, now)
+        self._record_latency(send, result, seconds)
         if result.end is SendStatus.ANSWERED:
             self.binding.record_answer(send, seconds, now)
         if result.end in NOT_EXECUTED:
             send.ticket.sends -= 1
         # An endpoint that asks for a rest is not unhealthy.
         end = SendStatus.REFUSED if result.backoff.seconds else result.end
-        came_back = state.health.note(end, now, self._may_eject(now))
-        if came_back or result.cold:
+        recovered = state.health.record(end, now, self._may_eject(now))
+        if recovered or result.cold:
             state.cold_since = now
 
     def find_state(self, send):
@@ -353,19 +359,19 @@
         state = self.states.get(send.endpoint)
         return state if state is not None and state.born == send.born else None
 
-    def _learn_pace(self, send, result, seconds):
+    def _record_latency(self, send, result, seconds):
         if result.end is not SendStatus.ANSWERED:
             return
         route = send.ticket.route
         self.get_latency(route).note(seconds, send.load)
         if route.live:
-            self.pace.note(seconds)
-            away = OTHER_DATA_CENTRE / self.pace.median
+            self.latency.note(seconds)
+            away = CROSS_DATA_CENTRE_RTT_SECONDS / self.latency.median
             for state in self.states.values():
                 state.distance = 0.0 if state.is_near else away
 
     def _may_eject(self, now):
-        ejected = sum(not s.health.is_open() for s in self.states.values())
+        ejected = sum(not s.health.accepts_traffic() for s in self.states.values())
         return (ejected + 1) * 2 <= len(self.states)
 
     def retry(self, ticket, end, now):
@@ -382,19 +388,19 @@
         state = self.states.get(endpoint)
         if state is None:
             return
-        state.last_probe = now
+        state.last_probe_at = now
         if result.report is not None:
             state.report = result.report
-            self.view.record_report(result.report)
+            self.service_view.record_report(result.report)
         if result.limit is not None:
             limit = result.limit
             self.limits.note(endpoint, state.born, limit, now, now, is_health=True)
-        self.service_availability.note(
+        self.service_availability.record(
             endpoint, state.born, result.backoff, result.leaving, now
         )
         if state.health.is_trial_due(now):
             state.health.trial_in_flight = True
-        if state.health.note(result.end, now, self._may_eject(now)) or result.cold:
+        if state.health.record(result.end, now, self._may_eject(now)) or result.cold:
             state.cold_since = now
 
     def record_suspicion(self, endpoint, ratio, now):
--- a/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
+++ b/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
@@ -14,29 +14,29 @@
 __all__ = ["EndpointState", "ServiceView"]
 
 SLOWNESS_WEIGHT = 0.2
-MOST_SLOWNESS = 100.0
-SLOWNESS_DECAY = 0.25
-REPORT_DECAY = 0.02
-OTHERS_WEIGHT = 0.05
+MAX_SLOWNESS = 100.0
+SLOWNESS_DECAY_SECONDS = 0.25
+REPORT_DECAY_SECONDS = 0.02
+PEER_LOAD_WEIGHT = 0.05
 RATIO_STEP = 0.1
-USUAL_SHARE = 0.9
-LEAST_SUSPICIOUS = 2.2
-BEYOND_USUAL = 1.6
-SUSPICION_DECAY = 0.03
+RATIO_QUANTILE = 0.9
+MIN_SUSPICIOUS_RATIO = 2.2
+SUSPICIOUS_FACTOR = 1.6
+SUSPICION_DECAY_SECONDS = 0.03
 SUSPICION_WEIGHT = 0.5
-MOST_SUSPICION = 20.0
-LEAST_SUSPICION = 0.05
-SLOW_START = 2.0
-SLOW_START_FLOOR = 0.25
+MAX_SUSPICION = 20.0
+MIN_SUSPICION = 0.05
+SLOW_START_SECONDS = 2.0
+MIN_SLOW_START_SHARE = 0.25
 FAULT_PENALTY = 10.0
 # Pause after a refusal, in seconds.
-REFUSED_PAUSE = 0.01
-WAIT_FOR_REPEATABLE = 5.0
-FAILED_ASKS = 2
-LONGEST_UNREACHED = 1.0
+REFUSED_BACKOFF_SECONDS = 0.01
+REPEATABLE_TRIAL_SECONDS = 5.0
+QUERY_FAILURES_TO_EJECT = 2
+MAX_QUERY_EJECTION_SECONDS = 1.0
 
 
-def build_reach():
+def build_query_health():
     """Return the record of questions that an endpoint did not answer.
 
     Notes
@@ -44,7 +44,10 @@
     A trial is one more question and harms no request, so the endpoint is tried
     again soon; two failures in a row are needed as one packet may be lost.
     """
-    return Health(failures_to_eject=FAILED_ASKS, longest=LONGEST_UNREACHED)
+    return Health(
+        failures_to_eject=QUERY_FAILURES_TO_EJECT,
+        max_ejection=MAX_QUERY_EJECTION_SECONDS,
+    )
 
 
 class ServiceView(Struct):
@@ -52,39 +55,39 @@
 
     Attributes
     ----------
-    others : float
+    peer_load : float
         Mean number of other nodes' requests at an endpoint.
-    turns : int
+    sends_started : int
         Sends of this node so far.
-    usual_ratio : float
+    high_ratio : float
         Nine in ten answers take at most so many times the expected time.
     """
 
-    others: float = 0.0
-    turns: int = 0
-    usual_ratio: float = 1.5
+    peer_load: float = 0.0
+    sends_started: int = 0
+    high_ratio: float = 1.5
 
     def record_ratio(self, ratio):
         """Take how many times longer than expected an answer took."""
-        if ratio > self.usual_ratio:
-            self.usual_ratio += RATIO_STEP * USUAL_SHARE
+        if ratio > self.high_ratio:
+            self.high_ratio += RATIO_STEP * RATIO_QUANTILE
         else:
-            self.usual_ratio -= RATIO_STEP * (1 - USUAL_SHARE)
+            self.high_ratio -= RATIO_STEP * (1 - RATIO_QUANTILE)
 
     def get_suspicious_ratio(self):
-        """Return the ratio from which an answer is worth telling others of.
+        """Return the ratio from which an answer is worth telling peer_load of.
 
         Notes
         -----
         Under load many answers take long everywhere. What nine in ten stay
         below is no sign that one endpoint is slower than the rest.
         """
-        return max(LEAST_SUSPICIOUS, BEYOND_USUAL * self.usual_ratio)
+        return max(MIN_SUSPICIOUS_RATIO, SUSPICIOUS_FACTOR * self.high_ratio)
 
     def record_report(self, report):
         """Take a report into the mean."""
-        others = max(0, report.running - report.own_in_flight)
-        self.others += OTHERS_WEIGHT * (others - self.others)
+        peer_load = max(0, report.running - report.own_in_flight)
+        self.peer_load += PEER_LOAD_WEIGHT * (peer_load - self.peer_load)
 
 
 class EndpointState(Struct, eq=False):
@@ -99,12 +102,12 @@
         answers take.
     sent : OrderedDict
         Sends in flight, the oldest first.
-    turn : int
+    last_send_number : int
         The number of its last send among all of the service's.
     availability : Availability
         What this life of the endpoint said on new requests.
     draining_until : float
-        Until when it is leaving by the word of others.
+        Until when it is leaving by the word of peer_load.
     suspicion, suspected_at : float
         What other nodes told of overdue answers, and when it was reckoned.
     queried_at : float
@@ -115,7 +118,7 @@
         Way to its data centre and back, in typical answers' times.
     warm_at, warm_up_reported_at : float
         Until when it is cold by its last word, and when that word came.
-    entered_warm_in, is_entry_new : float, bool
+    entry_warm_in, is_entry_new : float, bool
         Seconds for which it was cold when its entry was written, and whether that
         has not been looked at yet.
     last_send_at : float
@@ -134,24 +137,24 @@
     distance: float = 0.0
     slowness: float = 1.0
     report: object = None
-    common: ServiceView = field(default_factory=ServiceView)
+    service_view: ServiceView = field(default_factory=ServiceView)
     sent: OrderedDict = field(default_factory=OrderedDict)
-    turn: int = 0
+    last_send_number: int = 0
     availability: Availability = field(default_factory=Availability)
     draining_until: float = 0.0
     suspicion: float = 0.0
     suspected_at: float = 0.0
     cold_since: float | None = None
-    last_heard: float | None = None
-    last_probe: float = 0.0
+    last_response_at: float | None = None
+    last_probe_at: float = 0.0
     queried_at: float = float("-inf")
     warm_at: float = float("-inf")
     warm_up_reported_at: float = float("-inf")
-    entered_warm_in: float = 0.0
+    entry_warm_in: float = 0.0
     is_entry_new: bool = False
     last_send_at: float = float("-inf")
     health: Health = field(default_factory=Health)
-    reach: Health = field(default_factory=build_reach)
+    query_health: Health = field(default_factory=build_query_health)
     born: int = 0
     limits: ServiceLimits | None = None
     cold_share: RandomAdmission = field(default_factory=RandomAdmission)
@@ -167,8 +170,8 @@
         self.last_send_at = now
         if self.limits is not None:
             self.limits.use(self.identity, now)
-        self.common.turns += 1
-        self.turn = self.common.turns
+        self.service_view.sends_started += 1
+        self.last_send_number = self.service_view.sends_started
         if self.health.is_trial_due(now):
             self.health.trial_in_flight = True
 
@@ -179,15 +182,15 @@
 
     def record_entry(self, warm_in):
         """Take what its entry says of its warmth, in seconds from the entry's write."""
-        if warm_in != self.entered_warm_in:
-            self.entered_warm_in = warm_in
+        if warm_in != self.entry_warm_in:
+            self.entry_warm_in = warm_in
             self.is_entry_new = True
 
     def finish(self, send):
         """Note the end of a send."""
         self.sent.pop(send, None)
 
-    def learn(self, result, seconds, expected, now):
+    def record_result(self, result, seconds, expected, now):
         """Take what the end of a send tells of load and state.
 
         Parameters
@@ -201,19 +204,19 @@
         """
         if result.report is not None:
             self.report = result.report
-            self.common.record_report(result.report)
-            self.last_heard = now
-        ratio = min(MOST_SLOWNESS, seconds / expected)
+            self.service_view.record_report(result.report)
+            self.last_response_at = now
+        ratio = min(MAX_SLOWNESS, seconds / expected)
         if result.end is SendStatus.ANSWERED:
             self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
-            self.common.record_ratio(ratio)
-            self.last_heard = now
+            self.service_view.record_ratio(ratio)
+            self.last_response_at = now
         elif result.end is SendStatus.CANCELLED and ratio > self.slowness:
             self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
         elif result.end is SendStatus.REFUSED:
-            self.availability.record_backoff(REFUSED_PAUSE, now)
+            self.availability.record_backoff(REFUSED_BACKOFF_SECONDS, now)
 
-    def has_place(self, ticket, now):
+    def has_capacity(self, ticket, now):
         """Tell whether a request may be sent there now.
 
         Notes
@@ -225,7 +228,7 @@
             return False
         if not self.availability.takes_requests(now):
             return False
-        if not self.is_home_of(ticket.route):
+        if not self.serves_route(ticket.route):
             return False
         if not self.is_within_limit(now):
             return False
@@ -233,7 +236,7 @@
         if health.ejected_until:
             return self.accepts_trial(ticket, now)
         if not ticket.route.live and self.slots > 1:
-            occupied = len(self.sent) + self.estimate_others(now)
+            occupied = len(self.sent) + self.estimate_peer_load(now)
             return occupied + 1 < self.slots
         return True
 
@@ -242,9 +245,9 @@
         if not self.health.is_trial_due(now):
             return False
         waited = now - self.health.ejected_until
-        return ticket.route.repeatable or waited > WAIT_FOR_REPEATABLE
+        return ticket.route.repeatable or waited > REPEATABLE_TRIAL_SECONDS
 
-    def estimate_others(self, now):
+    def estimate_peer_load(self, now):
         """Return how many requests of other nodes occupy the endpoint.
 
         Notes
@@ -253,16 +256,18 @@
         with its age to the mean of all endpoints: an endpoint that was not
         heard of for long is an average one, not an idle one.
         """
-        mean = self.common.others
+        mean = self.service_view.peer_load
         report = self.report
         if report is None:
             return mean
-        others = max(0, report.running - report.own_in_flight)
-        return mean + (others - mean) * exp((report.received_at - now) / REPORT_DECAY)
+        peer_load = max(0, report.running - report.own_in_flight)
+        return mean + (peer_load - mean) * exp(
+            (report.received_at - now) / REPORT_DECAY_SECONDS
+        )
 
     def predict_load(self, now):
         """Return how many times longer than unloaded an answer should take."""
-        occupied = len(self.sent) + self.estimate_others(now)
+        occupied = len(self.sent) + self.estimate_peer_load(now)
         return 1 + max(0.0, occupied + 1 - self.slots) / self.slots
 
     def measure_slowness(self, now):
@@ -273,12 +278,12 @@
         An endpoint that nobody sends to because it was slow gives no answer that
         could tell that it no longer is.
         """
-        if self.last_heard is None:
+        if self.last_response_at is None:
             return 1.0
-        age = now - self.last_heard
-        return 1 + (self.slowness - 1) * exp(-age / SLOWNESS_DECAY)
+        age = now - self.last_response_at
+        return 1 + (self.slowness - 1) * exp(-age / SLOWNESS_DECAY_SECONDS)
 
-    def measure_overdue(self, now):
+    def measure_overdue_ratio(self, now):
         """Return how many times longer than typical the oldest send has taken."""
         if not self.sent:
             return 0.0
@@ -292,16 +297,18 @@
         -----
         One such answer says little, three at once say much; so they add up.
         """
-        held = self.measure_suspicion(now)
-        self.suspicion = min(MOST_SUSPICION, held + SUSPICION_WEIGHT * (ratio - 1))
+        previous = self.measure_suspicion(now)
+        self.suspicion = min(MAX_SUSPICION, previous + SUSPICION_WEIGHT * (ratio - 1))
         self.suspected_at = now
 
     def measure_suspicion(self, now):
         """Return what other nodes told of slowness, less with its age."""
         if not self.suspicion:
             return 0.0
-        suspicion = self.suspicion * exp((self.suspected_at - now) / SUSPICION_DECAY)
-        if suspicion < LEAST_SUSPICION:
+        suspicion = self.suspicion * exp(
+            (self.suspected_at - now) / SUSPICION_DECAY_SECONDS
+        )
+        if suspicion < MIN_SUSPICION:
             self.suspicion = 0.0
         return suspicion
 
@@ -316,10 +323,10 @@
         """
         slowness = max(
             self.measure_slowness(now),
-            self.measure_overdue(now),
+            self.measure_overdue_ratio(now),
             1 + self.measure_suspicion(now),
         )
-        occupied = len(self.sent) + self.estimate_others(now)
+        occupied = len(self.sent) + self.estimate_peer_load(now)
         wait = 1 + occupied / self.slots
         if occupied >= self.slots:
             wait += (occupied + 1 - self.slots) / self.slots
@@ -331,12 +338,14 @@
         if self.cold_since is None:
             return 1.0
         age = now - self.cold_since
-        if age >= SLOW_START:
+        if age >= SLOW_START_SECONDS:
             self.cold_since = None
             return 1.0
-        return SLOW_START_FLOOR + (1 - SLOW_START_FLOOR) * age / SLOW_START
+        return (
+            MIN_SLOW_START_SHARE + (1 - MIN_SLOW_START_SHARE) * age / SLOW_START_SECONDS
+        )
 
-    def is_home_of(self, route):
+    def serves_route(self, route):
         """Tell whether a route's requests may be sent there at all."""
         return not route.homes or self.region in route.homes
 
--- a/packages/hingesill-core/hingesill_core/routing/health.py
+++ b/packages/hingesill-core/hingesill_core/routing/health.py
@@ -7,8 +7,8 @@
 __all__ = ["Health"]
 
 FAILURES_TO_EJECT = 3
-FIRST_EJECTION = 0.5
-LONGEST_EJECTION = 10.0
+FIRST_EJECTION_SECONDS = 0.5
+MAX_EJECTION_SECONDS = 10.0
 MAX_EJECTED_SHARE = 0.5
 FAULT_WEIGHT = 0.1
 HANG_FACTOR = 20.0
@@ -32,7 +32,7 @@
     ----------
     failures_to_eject : int
         Failures in a row.
-    longest : float
+    max_ejection : float
         Longest ejection.
     """
 
@@ -42,9 +42,9 @@
     trial_in_flight: bool = False
     fault_share: float = 0.0
     failures_to_eject: int = FAILURES_TO_EJECT
-    longest: float = LONGEST_EJECTION
+    max_ejection: float = MAX_EJECTION_SECONDS
 
-    def note(self, end, now, may_eject):
+    def record(self, end, now, may_eject):
         """Take the end of a send or a probe.
 
         Parameters
@@ -62,21 +62,21 @@
             True if the endpoint came back from an ejection.
         """
         if end in FAILED:
-            self._note_failure(now, may_eject)
+            self._record_failure(now, may_eject)
             return False
         if end is not SendStatus.ANSWERED:
             self.trial_in_flight = False
             return False
         self.fault_share -= FAULT_WEIGHT * self.fault_share
         self.consecutive = 0
-        came_back = self.trial_in_flight
-        if came_back:
+        recovered = self.trial_in_flight
+        if recovered:
             self.trial_in_flight = False
             self.ejections = 0
             self.ejected_until = 0.0
-        return came_back
+        return recovered
 
-    def _note_failure(self, now, may_eject):
+    def _record_failure(self, now, may_eject):
         self.fault_share += FAULT_WEIGHT * (1 - self.fault_share)
         self.consecutive += 1
         failed_trial = self.trial_in_flight
@@ -86,7 +86,7 @@
 
     def eject(self, now):
         """Keep the endpoint out, twice as long as the last time."""
-        pause = min(self.longest, FIRST_EJECTION * 2**self.ejections)
+        pause = min(self.max_ejection, FIRST_EJECTION_SECONDS * 2**self.ejections)
         self.ejections += 1
         self.ejected_until = now + pause
         self.consecutive = 0
@@ -99,6 +99,6 @@
         """Tell whether its ejection has ended and a single trial is due."""
         return 0 < self.ejected_until <= now and not self.trial_in_flight
 
-    def is_open(self):
+    def accepts_traffic(self):
         """Tell whether ordinary traffic may go there."""
         return self.ejected_until == 0.0
--- a/packages/hingesill-core/hingesill_core/routing/hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/hedging.py
@@ -8,18 +8,18 @@
 __all__ = ["Hedging"]
 
 # In typical answers' times: with all of the budget and with none of it left.
-EARLIEST = 1.8
-LATEST = 4.5
+MIN_DELAY_FACTOR = 1.8
+MAX_DELAY_FACTOR = 4.5
 # With asked endpoints, in typical answers' times: what a hedge itself takes, with
 # its questions, and what an answer may take before it counts as overdue.
-NEEDS = 1.25
-EARLIEST_ASKED = 1.4
+HEDGE_DURATION_FACTOR = 1.25
+MIN_QUERIED_DELAY_FACTOR = 1.4
 # Tokens that a hedge leaves for retries where a node may save up more than one. Where
 # it may not, hedges go first: a refused caller can return at once, one that waits for
 # a silent endpoint cannot.
-KEPT_FOR_RETRIES = 1.0
+RESERVED_RETRY_TOKENS = 1.0
 # Interval of attempts to hedge after one found no token or endpoint, in seconds.
-AGAIN_SECONDS = 0.25
+ATTEMPT_INTERVAL_SECONDS = 0.25
 
 
 class Hedging:
@@ -37,7 +37,7 @@
         self.dispatcher = dispatcher
         self.budget = TokenBudget(share)
 
-    def get_overdue_time(self, send):
+    def get_hedge_delay(self, send):
         """Return the seconds after which an answer is worth a second send.
 
         Notes
@@ -49,9 +49,11 @@
         """
         median = self.dispatcher.get_latency(send.ticket.route).median
         if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
-            return compute_last_chance(send, median)
-        elapsed = 1 - self.budget.tokens / self.budget.burst
-        return (EARLIEST + (LATEST - EARLIEST) * elapsed) * median
+            return compute_latest_delay(send, median)
+        used_share = 1 - self.budget.tokens / self.budget.burst
+        return (
+            MIN_DELAY_FACTOR + (MAX_DELAY_FACTOR - MIN_DELAY_FACTOR) * used_share
+        ) * median
 
     def start(self, ticket, now):
         """Begin a second send of a request while its first has no answer.
@@ -73,10 +75,10 @@
         if denial is not None:
             return RetryDenied(denial)
         if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
-            return self._ask(ticket, now)
+            return self._query(ticket, now)
         return self._send(ticket, now)
 
-    def get_next_try(self, ticket, now):
+    def get_next_attempt_time(self, ticket, now):
         """Return when a second send that did not come about is worth another try.
 
         Parameters
@@ -92,7 +94,7 @@
             Seconds of the node's clock; infinite if no rule will allow it any more.
         """
         is_over = self._find_denial(ticket, now) is not None
-        return float("inf") if is_over else now + AGAIN_SECONDS
+        return float("inf") if is_over else now + ATTEMPT_INTERVAL_SECONDS
 
     def _find_denial(self, ticket, now):
         if ticket.sends >= ticket.route.most_sends:
@@ -109,7 +111,7 @@
         free = [
             state
             for state in self.dispatcher.states.values()
-            if state.identity not in ticket.tried and state.has_place(ticket, now)
+            if state.identity not in ticket.tried and state.has_capacity(ticket, now)
         ]
         if not free:
             return RetryDenied(RetryReason.DENIED_NO_ENDPOINT)
@@ -118,7 +120,7 @@
         state = self.dispatcher.choose(free, now, self.dispatcher.rng)
         return self.dispatcher.start_send(ticket, state, now, hedge=True)
 
-    def _ask(self, ticket, now):
+    def _query(self, ticket, now):
         """Return an Ask for a second endpoint, or Denied.
 
         Notes
@@ -127,25 +129,29 @@
         draw on the budget of retries, and hedges leave a token for those.
         """
         retries = self.dispatcher.retries
-        kept = min(KEPT_FOR_RETRIES, max(0.0, retries.burst - 1.0))
-        if not retries.spend(keep=kept):
+        reserved = min(RESERVED_RETRY_TOKENS, max(0.0, retries.burst - 1.0))
+        if not retries.spend(keep=reserved):
             return RetryDenied(RetryReason.DENIED_BUDGET)
-        ask = self.dispatcher.binding.enter_hedge(ticket, now)
-        if ask is None:
+        query = self.dispatcher.binding.add_hedge(ticket, now)
+        if query is None:
             retries.refund()
             return RetryDenied(RetryReason.DENIED_NO_ENDPOINT)
-        return ask
+        return query
 
-    def end(self, ticket):
+    def cancel(self, ticket):
         """Take back a hedge that asked and was not sent."""
-        self.dispatcher.binding.leave(ticket)
+        self.dispatcher.binding.remove(ticket)
         self.dispatcher.retries.refund()
 
 
-def compute_last_chance(send, median):
+def compute_latest_delay(send, median):
     """Return the seconds after which a second send can just meet the target."""
     ticket = send.ticket
     waited = send.started - ticket.arrived
     left = ticket.route.target - ticket.elapsed - waited
-    chance = left - NEEDS * median
-    return chance if chance >= EARLIEST_ASKED * median else LATEST * median
+    delay = left - HEDGE_DURATION_FACTOR * median
+    return (
+        delay
+        if delay >= MIN_QUERIED_DELAY_FACTOR * median
+        else MAX_DELAY_FACTOR * median
+    )
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -16,12 +16,12 @@
 from hingesill_core.routing.messages import SendStatus
 from hingesill_core.routing.selection import EndpointSelection, can_get_work, takes_work
 from hingesill_core.routing.unhealthyreports import UnhealthyReports
-from hingesill_core.routing.waiting import Waiting
+from hingesill_core.routing.waiting import WaitingRequest
 from hingesill_core.routing.warmup import WarmUpLimit
 
 __all__ = ["LateBinding"]
 
-ROOM_FOR_WAITING = 2
+REQUESTS_PER_QUERY = 2
 
 
 class LateBinding:
@@ -53,7 +53,7 @@
         self.waiting = {}
         self.limits = dispatcher.limits
         self.limited = LimitedWaiting(self, dispatcher.limited_requests)
-        self._asked_late_at = float("-inf")
+        self._late_queried_at = float("-inf")
 
     def configure(self, service, fleet):
         """Put a declaration and a view of the fleet in force."""
@@ -63,7 +63,7 @@
         self.slots.usual_times.keep(service.routes)
         self.warm_up.configure(service, fleet)
 
-    def enter(self, ticket, now):
+    def add_request(self, ticket, now):
         """Let a request wait.
 
         Returns
@@ -74,7 +74,7 @@
         """
         if not self.has_reports or self.budget.rate <= 0:
             return None
-        refusal = self._find_opening_refusal(ticket, now)
+        refusal = self._find_availability_refusal(ticket, now)
         if refusal is not None:
             return refusal
         if len(self.waiting) >= self.dispatcher.service.queue_limit:
@@ -88,21 +88,23 @@
         if waiting.get_stage(now, self.rules) is Stage.LATE:
             return LoadQuery(())
         return LoadQuery(
-            self._choose(self.rules.at_once, now, (ticket.route,), is_first=True)
+            self._choose_endpoints(
+                self.rules.first_fan_out, now, (ticket.route,), is_first=True
+            )
         )
 
     def _build_waiting(self, ticket, now):
-        pace = self.dispatcher.get_latency(ticket.route)
+        latency = self.dispatcher.get_latency(ticket.route)
         target = ticket.route.target or self.rules.default_target
-        longest = self.rules.longest_wait * (ticket.deadline - ticket.arrived)
-        return Waiting(
+        max_wait = self.rules.max_wait_share * (ticket.deadline - ticket.arrived)
+        return WaitingRequest(
             ticket,
             since=now,
-            late_at=ticket.arrived + self.rules.patience * target - ticket.elapsed,
-            until=min(ticket.deadline - pace.p10, ticket.arrived + longest),
+            late_at=ticket.arrived + self.rules.patient_share * target - ticket.elapsed,
+            until=min(ticket.deadline - latency.p10, ticket.arrived + max_wait),
         )
 
-    def enter_hedge(self, ticket, now):
+    def add_hedge(self, ticket, now):
         """Let a request that is under way wait for a second endpoint.
 
         Parameters
@@ -120,11 +122,13 @@
         """
         if not self.has_reports or self.waiting:
             return None
-        endpoints = self._choose(self.rules.at_once, now, (ticket.route,))
+        endpoints = self._choose_endpoints(
+            self.rules.first_fan_out, now, (ticket.route,)
+        )
         if not endpoints:
             return None
-        until = now + self.rules.hedge_wait
-        self.waiting[ticket] = Waiting(ticket, now, until, until, hedge=True)
+        until = now + self.rules.hedge_wait_seconds
+        self.waiting[ticket] = WaitingRequest(ticket, now, until, until, hedge=True)
         return LoadQuery(endpoints)
 
     def estimate_wait(self, now):
@@ -135,7 +139,7 @@
         """Return how many requests wait that have no endpoint at all."""
         return sum(not waiting.hedge for waiting in self.waiting.values())
 
-    def leave(self, ticket):
+    def remove(self, ticket):
         """Forget a request that no longer waits."""
         self.waiting.pop(ticket, None)
 
@@ -146,7 +150,7 @@
         if self.limits.limited:
             self.limited.want_grants(now)
         routes = {waiting.ticket.route for waiting in self.waiting.values()}
-        endpoints = self._choose(self._count_wanted(now), now, routes)
+        endpoints = self._choose_endpoints(self._count_wanted(now), now, routes)
         return LoadQuery(endpoints) if endpoints else None
 
     def _count_wanted(self, now):
@@ -160,14 +164,14 @@
         stages = [item.get_stage(now, self.rules) for item in self.waiting.values()]
         timely = sum(stage is not Stage.LATE for stage in stages)
         if timely:
-            wanted = timely // ROOM_FOR_WAITING + self.rules.at_once
-            return min(wanted, self.rules.most_at_once)
-        if now - self._asked_late_at < self.rules.late_pause:
+            wanted = timely // REQUESTS_PER_QUERY + self.rules.first_fan_out
+            return min(wanted, self.rules.max_fan_out)
+        if now - self._late_queried_at < self.rules.late_query_interval:
             return 0
-        self._asked_late_at = now
+        self._late_queried_at = now
         return 1
 
-    def _choose(self, wanted, now, routes, is_first=False):
+    def _choose_endpoints(self, wanted, now, routes, is_first=False):
         """Return the identities of endpoints to ask, as the budget allows."""
         candidates = self.selection.list_candidates(now, routes)
         count = self.budget.take(min(wanted, len(candidates)), now)
@@ -175,8 +179,8 @@
         chosen = self.selection.sample(candidates, count, now, is_first)
         for state in chosen:
             state.queried_at = now
-            if state.reach.is_trial_due(now):
-                state.reach.trial_in_flight = True
+            if state.query_health.is_trial_due(now):
+                state.query_health.trial_in_flight = True
         return tuple(state.identity for state in chosen)
 
     def may_query(self, identity, born, now):
@@ -184,12 +188,12 @@
         state = self.dispatcher.states.get(identity)
         return state is not None and state.born == born and takes_work(state, now)
 
-    def take(self, reply, now):
+    def handle_reply(self, reply, now):
         """Take a reply; return the Send that it is good for, or None."""
         state = self.record_reply(reply, now)
         if state is None or reply.report is None or not can_get_work(state, now):
             return None
-        if reply.is_unhealthy and self.unhealthy_reports.are_believed():
+        if reply.is_unhealthy and self.unhealthy_reports.should_apply():
             return None
         running = reply.report.running
         is_cold = self.warm_up.is_cold(state, now)
@@ -218,18 +222,18 @@
         A cold endpoint works slower: it is for requests that found no other.
         """
         ticket = waiting.ticket
-        if not state.is_home_of(ticket.route):
+        if not state.serves_route(ticket.route):
             return False
         if state.identity in ticket.tried and len(self.dispatcher.states) > 1:
             return False
-        if not state.health.is_open() and not state.accepts_trial(ticket, now):
+        if not state.health.accepts_traffic() and not state.accepts_trial(ticket, now):
             return False
         stage = waiting.get_stage(now, self.rules)
         if is_cold and stage is Stage.SELECTIVE:
             return False
-        most = self.selection.get_most_slowness()
+        max_slowness = self.selection.get_most_slowness()
         usable = self.slots.get_concurrency_limit(state.report.slots, now)
-        return is_good_enough(state.report, stage, usable, most)
+        return is_good_enough(state.report, stage, usable, max_slowness)
 
     def record_reply(self, reply, now):
         """Learn from a reply; return the endpoint's state, or None if it is gone.
@@ -245,15 +249,15 @@
         if born is None and state is not None:
             born = state.born
         if born is not None:
-            self.dispatcher.service_availability.note(
+            self.dispatcher.service_availability.record(
                 reply.endpoint, born, reply.backoff, reply.leaving, now
             )
         if state is None or born != state.born:
             return None
-        state.reach.note(reply.end, now, may_eject=True)
+        state.query_health.record(reply.end, now, may_eject=True)
         if reply.end is SendStatus.ANSWERED:
             if reply.is_unhealthy is not None:
-                self.unhealthy_reports.note(reply.is_unhealthy)
+                self.unhealthy_reports.record(reply.is_unhealthy)
             if reply.limit is not None and reply.sent_at is not None:
                 limit, sent_at = reply.limit, reply.sent_at
                 self.limits.note(
@@ -285,22 +289,22 @@
             ticket = waiting.ticket
             if not self.has_reports and not waiting.hedge:
                 self.waiting.pop(ticket)
-                yield ticket, self.dispatcher.dispatch_unasked(ticket, now)
+                yield ticket, self.dispatcher.dispatch_without_query(ticket, now)
                 continue
-            refusal = self._find_final(waiting, now)
+            refusal = self._find_final_refusal(waiting, now)
             if refusal is not None:
                 self.waiting.pop(ticket)
                 yield ticket, refusal
 
-    def _find_final(self, waiting, now):
+    def _find_final_refusal(self, waiting, now):
         """Return the Refusal of a request that waits in vain, or None."""
         ticket = waiting.ticket
         if now >= waiting.until:
             reason = RefusalReason.DEADLINE_UNREACHABLE
             return self.dispatcher.refuse(ticket, reason, now)
-        return self._find_opening_refusal(ticket, now)
+        return self._find_availability_refusal(ticket, now)
 
-    def _find_opening_refusal(self, ticket, now):
+    def _find_availability_refusal(self, ticket, now):
         """Return the Refusal of a request that no endpoint takes soon, or None."""
         tried = ticket.tried if len(self.dispatcher.states) > 1 else ()
         return self.dispatcher.service_availability.find_refusal(ticket, now, tried)
--- a/packages/hingesill-core/hingesill_core/routing/limitedrequests.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedrequests.py
@@ -21,7 +21,7 @@
         """Tell whether all endpoints that may serve a route are in need."""
         limits = self._dispatcher.limits
         return not any(
-            state.is_home_of(route) and can_get_work(state, now)
+            state.serves_route(route) and can_get_work(state, now)
             for state in self._dispatcher.states.values()
             if state.identity not in limits.limited
         )
--- a/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
@@ -3,9 +3,9 @@
 __all__ = ["LimitedWaiting"]
 
 # Time for which a request waits for endpoints without a limit, in seconds.
-PATIENCE_SECONDS = 0.03
+UNLIMITED_WAIT_SECONDS = 0.03
 # Time for which a late request waits for a limited endpoint, in seconds.
-SOON_SECONDS = 0.05
+LATE_WAIT_SECONDS = 0.05
 
 
 class LimitedWaiting:
@@ -43,14 +43,14 @@
         """Have grants asked for, for requests that endpoints without a need leave."""
         waiting = self._list_waiting()
         routes = {item.ticket.route for item in waiting}
-        short = {r for r in routes if self._requests.needs_grant(r, now)}
-        patient_since = now - PATIENCE_SECONDS
+        blocked_routes = {r for r in routes if self._requests.needs_grant(r, now)}
+        patient_since = now - UNLIMITED_WAIT_SECONDS
         needing = sum(
-            item.since <= patient_since or item.ticket.route in short
+            item.since <= patient_since or item.ticket.route in blocked_routes
             for item in waiting
         )
         patience = max((item.late_at - now for item in waiting), default=0.0)
-        self._grant_client.want(needing, max(patience, SOON_SECONDS), now)
+        self._grant_client.want(needing, max(patience, LATE_WAIT_SECONDS), now)
 
     def list_surplus(self, now):
         """Return the waiting tickets that will get no grant in time.
@@ -62,7 +62,7 @@
         """
         waiting = self._list_waiting()
         waiting.sort(key=lambda item: item.get_order(now))
-        soon = now + SOON_SECONDS
+        soon = now + LATE_WAIT_SECONDS
         items = [(i.ticket, min(i.until, max(i.late_at, soon))) for i in waiting]
         return self._requests.list_surplus(items, now)
 
--- a/packages/hingesill-core/hingesill_core/routing/loadqueries.py
+++ b/packages/hingesill-core/hingesill_core/routing/loadqueries.py
@@ -33,50 +33,50 @@
 
     Attributes
     ----------
-    at_once : int
+    first_fan_out : int
         Endpoints asked for a new request, all but one in its data centre, or all
         of them where there are many.
-    most_at_once : int
+    max_fan_out : int
         Endpoints asked in a later round, for all waiting requests together.
-    many_near : int
+    min_local : int
         With so many endpoints in its data centre, a new request asks there only;
         where there are two or three, it keeps asking elsewhere.
-    selective : float
+    selective_seconds : float
         For so long, two replies, a request takes only an endpoint with two free
         slots, as the last one is often gone when the request arrives.
-    patience : float
+    patient_share : float
         Share of a route's target in which only a free slot of an endpoint that
         is not slow will do.
-    hedge_wait : float
+    hedge_wait_seconds : float
         For so long a hedge looks for an endpoint: some rounds of questions. What
         is not found by then is a sign of load.
-    longest_wait : float
+    max_wait_share : float
         Share of a request's time after which it is refused, so that its caller
         still has more than half of it to try again.
-    late_pause : float
+    late_query_interval : float
         Between two questions while all requests that wait are late: some three
         rounds, so that late ones leave questions to those that can be in time.
     default_target : float
         Taken for a route without a declared target.
-    most_slowness : float
+    max_slowness : float
         An endpoint that works slower than usual by this factor is passed by: slow
         spells on shared VMs are a factor of five, ordinary spread stays below two.
-    slow_holds : float
+    slow_report_seconds : float
         For so long after it said that it is slow, an idle connection to an endpoint
         is no reason to ask it: several spells of slow VMs.
     """
 
-    at_once: int = 2
-    most_at_once: int = 4
-    many_near: int = 6
-    selective: float = 0.02
-    patience: float = 0.7
-    hedge_wait: float = 0.06
-    longest_wait: float = 0.45
-    late_pause: float = 0.05
+    first_fan_out: int = 2
+    max_fan_out: int = 4
+    min_local: int = 6
+    selective_seconds: float = 0.02
+    patient_share: float = 0.7
+    hedge_wait_seconds: float = 0.06
+    max_wait_share: float = 0.45
+    late_query_interval: float = 0.05
     default_target: float = 0.5
-    most_slowness: float = 2.0
-    slow_holds: float = 1.0
+    max_slowness: float = 2.0
+    slow_report_seconds: float = 1.0
 
 
 class Stage(IntEnum):
@@ -145,7 +145,7 @@
     leaving: bool = False
 
 
-def is_good_enough(report, stage, usable, most_slowness):
+def is_good_enough(report, stage, usable, max_slowness):
     """Tell whether an endpoint will do for a request.
 
     Parameters
@@ -156,13 +156,13 @@
         Of the request.
     usable : int
         Slots of the endpoint that are worth taking.
-    most_slowness : float
+    max_slowness : float
         An endpoint that works slower is passed by.
     """
     slots = report.slots or 1
     usable = min(usable, slots)
     free = usable - report.running
-    if report.slowness >= most_slowness:
+    if report.slowness >= max_slowness:
         return False
     if stage is Stage.LATE:
         return free >= min(usable, 2)
--- a/packages/hingesill-core/hingesill_core/routing/policies.py
+++ b/packages/hingesill-core/hingesill_core/routing/policies.py
@@ -21,7 +21,7 @@
 @POLICIES.register("round_robin")
 def choose_next(states, now, rng):
     """Choose the endpoint whose last send is the longest ago; a baseline."""
-    return min(states, key=lambda state: state.turn)
+    return min(states, key=lambda state: state.last_send_number)
 
 
 @POLICIES.register("least_in_flight_of_two")
--- a/packages/hingesill-core/hingesill_core/routing/selection.py
+++ b/packages/hingesill-core/hingesill_core/routing/selection.py
@@ -54,7 +54,7 @@
         new connections are saved, and the next round is milliseconds away.
         """
         near = [state for state in candidates if state.is_near]
-        stays = is_first and len(near) >= self.rules.many_near
+        stays = is_first and len(near) >= self.rules.min_local
         wanted = min(len(near), max(0, count - (not stays)))
         pick = self._pick_connected if is_first else self._pick
         chosen = pick(near, wanted, now)
@@ -92,13 +92,13 @@
     def _was_slow(self, state, now):
         """Tell whether an endpoint worked slowly by its last word, if that is new."""
         report = state.report
-        if report is None or now - report.received_at > self.rules.slow_holds:
+        if report is None or now - report.received_at > self.rules.slow_report_seconds:
             return False
         return report.slowness >= self.get_most_slowness()
 
     def get_most_slowness(self):
         """Return from which slowness on an endpoint is passed by."""
-        return self.rules.most_slowness * max(1.0, self.slowness.value)
+        return self.rules.max_slowness * max(1.0, self.slowness.value)
 
     def list_candidates(self, now, routes):
         """Return the endpoints worth asking, those not just asked if there are any.
@@ -112,10 +112,11 @@
         """
         usable = [s for s in self.dispatcher.states.values() if can_get_work(s, now)]
         if all(route.homes for route in routes):
-            usable = [s for s in usable if any(map(s.is_home_of, routes))]
-        just_now = now - self.rules.selective
+            usable = [s for s in usable if any(map(s.serves_route, routes))]
+        just_now = now - self.rules.selective_seconds
         for keep in (
-            lambda s: s.reach.is_open() or s.reach.is_trial_due(now),
+            lambda s: s.query_health.accepts_traffic()
+            or s.query_health.is_trial_due(now),
             lambda s: s.queried_at < just_now,
         ):
             usable = [state for state in usable if keep(state)] or usable
@@ -131,4 +132,4 @@
     """Tell whether an endpoint may get new work, as far as known."""
     if not takes_work(state, now) or not state.is_within_limit(now):
         return False
-    return state.health.is_open() or state.health.is_trial_due(now)
+    return state.health.accepts_traffic() or state.health.is_trial_due(now)
--- a/packages/hingesill-core/hingesill_core/routing/serviceavailability.py
+++ b/packages/hingesill-core/hingesill_core/routing/serviceavailability.py
@@ -8,9 +8,9 @@
 __all__ = ["ServiceAvailability"]
 
 # Longest wait for the end of a rest, in seconds.
-PATIENCE_SECONDS = 0.02
+MAX_BACKOFF_WAIT_SECONDS = 0.02
 # Spread of Retry-After behind the end of a rest, in seconds.
-SPREAD_SECONDS = 0.5
+RETRY_AFTER_SPREAD_SECONDS = 0.5
 
 
 class ServiceAvailability:
@@ -25,7 +25,7 @@
     def __init__(self, dispatcher):
         self._dispatcher = dispatcher
 
-    def note(self, identity, born, backoff, leaving, now):
+    def record(self, identity, born, backoff, leaving, now):
         """Take what an answer says on further requests, when its head is read.
 
         Parameters
@@ -62,7 +62,7 @@
 
     def count_backing_off(self, now):
         """Return how many of the endpoints asked for a rest that lasts."""
-        if not self._dispatcher.availabilities.has_words:
+        if not self._dispatcher.availabilities.has_retained:
             return 0
         states = self._dispatcher.states.values()
         return sum(state.availability.is_backing_off(now) for state in states)
@@ -86,7 +86,7 @@
         """
         soonest = inf
         for state in self._dispatcher.states.values():
-            if state.identity in tried or not state.is_home_of(route):
+            if state.identity in tried or not state.serves_route(route):
                 continue
             if state.is_draining(now):
                 continue
@@ -109,7 +109,7 @@
             Identities of endpoints that do not count.
         """
         wait = self.get_wait(ticket.route, now, tried)
-        if wait <= PATIENCE_SECONDS:
+        if wait <= MAX_BACKOFF_WAIT_SECONDS:
             return None
         reason = RefusalReason.NO_ENDPOINT
         if isfinite(wait):
@@ -119,6 +119,6 @@
     def suggest_retry_after(self, route, now):
         """Return the Retry-After in seconds if all endpoints rest, else None."""
         wait = self.get_wait(route, now)
-        if wait <= PATIENCE_SECONDS or not isfinite(wait):
+        if wait <= MAX_BACKOFF_WAIT_SECONDS or not isfinite(wait):
             return None
-        return wait + SPREAD_SECONDS * self._dispatcher.rng.random()
+        return wait + RETRY_AFTER_SPREAD_SECONDS * self._dispatcher.rng.random()
--- a/packages/hingesill-core/hingesill_core/routing/tests/simulatednode.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/simulatednode.py
@@ -106,7 +106,7 @@
     def _take(self, reply):
         if not self.is_alive:
             return
-        send = self.dispatcher.binding.take(reply, self.play.now)
+        send = self.dispatcher.binding.handle_reply(reply, self.play.now)
         if send is not None:
             self._start(self.attempts[send.ticket], send)
 
@@ -119,7 +119,7 @@
         for ticket, decision in binding.expire(now):
             attempt = self.attempts[ticket]
             if attempt.live:
-                self.dispatcher.hedging.end(ticket)
+                self.dispatcher.hedging.cancel(ticket)
             else:
                 self._act(attempt, decision)
         ask = binding.next_query(now)
@@ -137,7 +137,7 @@
         self.play.note_send(is_extra=attempt.sends > 1)
         self.play.after(self.play.get_way(self, endpoint), endpoint.arrive, self, send)
         if attempt.ticket.route.repeatable:
-            overdue = self.dispatcher.hedging.get_overdue_time(send)
+            overdue = self.dispatcher.hedging.get_hedge_delay(send)
             self.play.after(overdue, self._hedge, attempt, send)
 
     def _hedge(self, attempt, send):
@@ -151,7 +151,7 @@
             self._ask(decision)
         elif isinstance(decision, Send):
             self._start(attempt, decision)
-        again = hedging.get_next_try(attempt.ticket, now)
+        again = hedging.get_next_attempt_time(attempt.ticket, now)
         if again < attempt.ticket.deadline:
             self.play.after(again - now, self._hedge, attempt, send)
 
@@ -164,13 +164,13 @@
         now = self.play.now
         named = self.play.endpoints[send.endpoint].name_limit()
         self.dispatcher.record_limit(send, named, now)
-        self.dispatcher.settle(send, result, now)
+        self.dispatcher.complete_send(send, result, now)
         if result.end is SendStatus.ANSWERED:
             self._close(attempt)
             self.play.answer(attempt.request)
             self._take(LoadReply(send.endpoint, SendStatus.ANSWERED, result.report))
         elif not attempt.live:
-            self.dispatcher.binding.leave(attempt.ticket)
+            self.dispatcher.binding.remove(attempt.ticket)
             decision, _ = self.dispatcher.retry(attempt.ticket, result.end, now)
             self._act(attempt, decision)
 
@@ -189,10 +189,10 @@
     def _close(self, attempt, end=SendStatus.CANCELLED):
         """Cancel what is still under way."""
         attempt.is_open = False
-        self.dispatcher.binding.leave(attempt.ticket)
+        self.dispatcher.binding.remove(attempt.ticket)
         for send in attempt.live:
             self.play.endpoints[send.endpoint].cancel(send)
-            self.dispatcher.settle(send, SendResult(end), self.play.now)
+            self.dispatcher.complete_send(send, SendResult(end), self.play.now)
         attempt.live.clear()
         self.attempts.pop(attempt.ticket, None)
 
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_availability.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_availability.py
@@ -48,7 +48,7 @@
 
 class LeavingTests(unittest.TestCase):
     def test_a_life_that_said_so_gets_nothing_any_more(self):
-        availability = Availability(names_life=True)
+        availability = Availability(has_instance_id=True)
         self.assertTrue(availability.record_leaving(10.0))
         self.assertFalse(availability.record_leaving(11.0))
         self.assertFalse(availability.takes_requests(1e9))
@@ -80,7 +80,7 @@
         self.assertTrue(self.book.get("i0", 2).takes_requests(10.0))
 
     def test_a_life_that_comes_back_is_still_leaving(self):
-        self.book.names_lives = True
+        self.book.has_instance_ids = True
         self.book.record_leaving("arena", "i0", 1, 10.0)
         self.note(3.0, 500.0)
         self.assertFalse(self.book.get("i0", 1).takes_requests(600.0))
@@ -95,7 +95,7 @@
     def test_what_is_over_is_forgotten(self):
         self.note(3.0, 10.0)
         self.book.record_backoff("arena", "i1", 0, RequestedBackoff(3.0), 30.0)
-        self.assertEqual(list(self.book._remembered), [("i1", 0)])
+        self.assertEqual(list(self.book._retained), [("i1", 0)])
 
 
 class RestingEndpointTests(unittest.TestCase):
@@ -106,13 +106,13 @@
         self.state = self.dispatcher.states["i0"]
 
     def backoff(self, now=0.0, backoff=RequestedBackoff(3.0)):
-        self.dispatcher.service_availability.note("i0", 0, backoff, False, now)
+        self.dispatcher.service_availability.record("i0", 0, backoff, False, now)
 
     def settle(self, end):
         ticket = Ticket(ROUTE, 0.0, 2.0)
         send = self.dispatcher.start_send(ticket, self.state, 0.0)
         result = SendResult(end, backoff=RequestedBackoff(3.0))
-        self.dispatcher.settle(send, result, 0.0)
+        self.dispatcher.complete_send(send, result, 0.0)
 
     def test_it_is_asked_nothing(self):
         self.backoff()
@@ -123,18 +123,18 @@
     def test_its_reply_that_was_on_its_way_is_good_for_nobody(self):
         self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.0)
         self.backoff()
-        self.assertIsNone(self.dispatcher.binding.take(reply("i0", 0), 0.1))
+        self.assertIsNone(self.dispatcher.binding.handle_reply(reply("i0", 0), 0.1))
 
     def test_it_gets_no_request_unasked(self):
         self.backoff()
         ticket = Ticket(ROUTE, 0.0, 9.0)
-        self.assertFalse(self.state.has_place(ticket, 2.9))
-        self.assertTrue(self.state.has_place(ticket, 3.0))
+        self.assertFalse(self.state.has_capacity(ticket, 2.9))
+        self.assertTrue(self.state.has_capacity(ticket, 3.0))
 
     def test_it_is_used_again_after_its_rest(self):
         self.backoff()
         self.dispatcher.submit(Ticket(ROUTE, 3.0, 5.0), 3.0)
-        self.assertIsNotNone(self.dispatcher.binding.take(reply("i0", 0), 3.01))
+        self.assertIsNotNone(self.dispatcher.binding.handle_reply(reply("i0", 0), 3.01))
 
     def test_a_rest_whose_length_cannot_be_read_lasts_a_second(self):
         self.backoff(backoff=INVALID_BACKOFF)
@@ -150,33 +150,33 @@
     def test_it_is_not_ejected(self):
         for _ in range(5):
             self.settle(SendStatus.FAULT)
-        self.assertTrue(self.state.health.is_open())
+        self.assertTrue(self.state.health.accepts_traffic())
         self.assertEqual(self.state.health.fault_share, 0.0)
 
     def test_a_send_that_it_refused_has_not_run(self):
         ticket = Ticket(ROUTE, 0.0, 2.0)
         send = self.dispatcher.start_send(ticket, self.state, 0.0)
         result = SendResult(SendStatus.REFUSED, backoff=RequestedBackoff(3.0))
-        self.dispatcher.settle(send, result, 0.0)
+        self.dispatcher.complete_send(send, result, 0.0)
         self.dispatcher.retries.tokens = 0.0
         refusal, _ = self.dispatcher.retry(ticket, SendStatus.REFUSED, 0.0)
         self.assertIs(refusal.outcome, Outcome.NOT_RUN)
 
     def test_neither_the_store_nor_another_node_takes_back_that_it_is_leaving(self):
-        self.dispatcher.service_availability.note("i0", 0, NO_BACKOFF, True, 0.0)
+        self.dispatcher.service_availability.record("i0", 0, NO_BACKOFF, True, 0.0)
         self.dispatcher.mark_draining("i0", 0.0)
         self.dispatcher.configure(build_service(0), FLEET)
         self.dispatcher.configure(build_service(2), FLEET)
         state = self.dispatcher.states["i0"]
         self.assertTrue(state.is_draining(100.0))
-        self.assertFalse(state.has_place(Ticket(ROUTE, 100.0, 109.0), 100.0))
+        self.assertFalse(state.has_capacity(Ticket(ROUTE, 100.0, 109.0), 100.0))
 
     def test_an_answer_to_a_question_says_so_as_well(self):
         leaving = replace(reply("i0", 0), leaving=True, born=0)
         self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.0)
-        self.assertIsNone(self.dispatcher.binding.take(leaving, 0.1))
+        self.assertIsNone(self.dispatcher.binding.handle_reply(leaving, 0.1))
         self.assertTrue(self.state.is_draining(100.0))
 
     def test_a_reply_without_a_life_is_of_the_one_that_is_there(self):
-        self.dispatcher.binding.take(replace(reply("i0", 0), leaving=True), 0.1)
+        self.dispatcher.binding.handle_reply(replace(reply("i0", 0), leaving=True), 0.1)
         self.assertTrue(self.state.is_draining(100.0))
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
@@ -75,14 +75,14 @@
         """Let the budgets of extra sends fill."""
         for _ in range(count):
             _, send = self.ask(self.read)
-            self.dispatcher.settle(send, SendResult(SendStatus.ANSWERED), 0.005)
+            self.dispatcher.complete_send(send, SendResult(SendStatus.ANSWERED), 0.005)
 
 
 class AdmissionTests(DispatcherCase):
     def test_held_request_goes_when_a_place_is_free(self):
         sends = self.fill(self.read)
-        self.dispatcher.settle(sends[0], SendResult(SendStatus.ANSWERED), 0.01)
-        self.assertEqual(len(list(self.dispatcher.pump(0.01))), 1)
+        self.dispatcher.complete_send(sends[0], SendResult(SendStatus.ANSWERED), 0.01)
+        self.assertEqual(len(list(self.dispatcher.dispatch_queued(0.01))), 1)
 
     def test_unreachable_deadline_is_refused_at_once(self):
         self.fill(self.read)
@@ -112,8 +112,8 @@
         self.ask(self.export)
         live, _ = self.ask(self.read)
         for send in sends:
-            self.dispatcher.settle(send, SendResult(SendStatus.ANSWERED), 0.01)
-        first = next(iter(self.dispatcher.pump(0.01)))
+            self.dispatcher.complete_send(send, SendResult(SendStatus.ANSWERED), 0.01)
+        first = next(iter(self.dispatcher.dispatch_queued(0.01)))
         self.assertTrue(first.ticket.route.live)
 
     def test_deferrable_leaves_the_last_slot(self):
@@ -133,7 +133,7 @@
     def end(self, route, end, **fields):
         self.earn()
         ticket, send = self.ask(route, **fields)
-        self.dispatcher.settle(send, SendResult(end), 0.01)
+        self.dispatcher.complete_send(send, SendResult(end), 0.01)
         return ticket, *self.dispatcher.retry(ticket, end, 0.01)
 
     def test_lost_move_is_unknown_and_not_repeated(self):
@@ -166,7 +166,7 @@
 
     def test_empty_budget(self):
         ticket, send = self.ask(self.read)
-        self.dispatcher.settle(send, SendResult(SendStatus.LOST), 0.01)
+        self.dispatcher.complete_send(send, SendResult(SendStatus.LOST), 0.01)
         _, reason = self.dispatcher.retry(ticket, SendStatus.LOST, 0.01)
         self.assertIs(reason, RetryReason.DENIED_BUDGET)
 
@@ -190,7 +190,9 @@
         for _ in range(requests):
             _, send = self.ask(self.read, now)
             counts[send.endpoint] += 1
-            self.dispatcher.settle(send, SendResult(SendStatus.ANSWERED), now + 0.005)
+            self.dispatcher.complete_send(
+                send, SendResult(SendStatus.ANSWERED), now + 0.005
+            )
         return counts
 
     def test_overdue_endpoint_is_left_out(self):
@@ -212,7 +214,7 @@
             failures += bad
             end = SendStatus.FAULT if bad else SendStatus.ANSWERED
             report = idle if bad else LoadReport(2, now, 0)
-            self.dispatcher.settle(send, SendResult(end, report), now + 0.004)
+            self.dispatcher.complete_send(send, SendResult(end, report), now + 0.004)
         self.assertLess(failures, 20)
 
     def test_never_more_than_half_are_ejected(self):
@@ -220,7 +222,7 @@
             _, send = self.ask(self.move, number * 0.001)
             if isinstance(send, Send):
                 result = SendResult(SendStatus.CONNECT_FAILED)
-                self.dispatcher.settle(send, result, number * 0.001)
+                self.dispatcher.complete_send(send, result, number * 0.001)
         out = [
             state
             for state in self.dispatcher.states.values()
@@ -279,7 +281,7 @@
         ticket = send.ticket
         certain = (SendStatus.REFUSED, SendStatus.CONNECT_FAILED, SendStatus.NOT_SENT)
         self.maybe_run[ticket] = self.maybe_run.get(ticket) or end not in certain
-        self.dispatcher.settle(send, SendResult(end), self.now)
+        self.dispatcher.complete_send(send, SendResult(end), self.now)
         others = any(other.ticket is ticket for other in self.live)
         if end in (SendStatus.ANSWERED, SendStatus.CANCELLED) or others:
             return
@@ -309,7 +311,7 @@
         for ticket, refusal in self.dispatcher.expire(self.now):
             self.held.remove(ticket)
             self.take(ticket, refusal)
-        for send in self.dispatcher.pump(self.now):
+        for send in self.dispatcher.dispatch_queued(self.now):
             self.held.remove(send.ticket)
             self.take(send.ticket, send)
 
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_homes.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_homes.py
@@ -62,30 +62,32 @@
 
     def test_a_reply_from_elsewhere_is_for_others(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        self.assertIsNone(self.binding.take(reply("north0"), 0.05))
-        self.assertIsNone(self.binding.take(reply("6"), 0.05))
+        self.assertIsNone(self.binding.handle_reply(reply("north0"), 0.05))
+        self.assertIsNone(self.binding.handle_reply(reply("6"), 0.05))
         other = Ticket(ROUTE, 0.0, 2.0)
         self.dispatcher.submit(other, 0.0)
-        self.assertIs(self.binding.take(reply("north0"), 0.05).ticket, other)
-        self.assertIs(self.binding.take(reply("south2"), 0.05).ticket, self.ticket)
+        self.assertIs(self.binding.handle_reply(reply("north0"), 0.05).ticket, other)
+        self.assertIs(
+            self.binding.handle_reply(reply("south2"), 0.05).ticket, self.ticket
+        )
 
     def test_a_retry_stays_at_home(self):
         self.dispatcher.submit(self.ticket, 0.0)
         self.dispatcher.retries.tokens = 2.0
-        send = self.binding.take(reply("south2"), 0.05)
-        self.dispatcher.settle(send, SendResult(SendStatus.LOST), 0.1)
+        send = self.binding.handle_reply(reply("south2"), 0.05)
+        self.dispatcher.complete_send(send, SendResult(SendStatus.LOST), 0.1)
         decision, _ = self.dispatcher.retry(self.ticket, SendStatus.LOST, 0.1)
         self.assertIsInstance(decision, LoadQuery)
         self.assertLessEqual(set(decision.endpoints), {"south2", "south3"})
-        self.assertIsNone(self.binding.take(reply("west4"), 0.2))
+        self.assertIsNone(self.binding.handle_reply(reply("west4"), 0.2))
 
     def test_a_hedge_stays_at_home(self):
         self.dispatcher.submit(self.ticket, 0.0)
         self.dispatcher.retries.tokens = 2.0
-        self.binding.take(reply("south2"), 0.05)
+        self.binding.handle_reply(reply("south2"), 0.05)
         ask = self.dispatcher.hedging.start(self.ticket, 0.2)
         self.assertLessEqual(set(ask.endpoints), {"south2", "south3"})
-        self.assertIsNone(self.binding.take(reply("west4"), 0.21))
+        self.assertIsNone(self.binding.handle_reply(reply("west4"), 0.21))
 
     def test_without_an_endpoint_at_home_it_is_refused_at_once(self):
         self.configure([r for r in REGIONS if r != "south"])
@@ -110,8 +112,8 @@
 
     def test_both_are_used(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        self.assertIsNone(self.binding.take(reply("north0"), 0.05))
-        self.assertIsInstance(self.binding.take(reply("west5"), 0.05), Send)
+        self.assertIsNone(self.binding.handle_reply(reply("north0"), 0.05))
+        self.assertIsInstance(self.binding.handle_reply(reply("west5"), 0.05), Send)
 
 
 class UnaskedTests(HomesCase):
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_latebinding.py
@@ -53,63 +53,65 @@
     def test_a_request_asks_before_it_goes(self):
         ask = self.dispatcher.submit(self.ticket, 0.0)
         self.assertIsInstance(ask, LoadQuery)
-        self.assertEqual(len(set(ask.endpoints)), QueryRules().at_once)
+        self.assertEqual(len(set(ask.endpoints)), QueryRules().first_fan_out)
 
     def test_it_goes_to_the_one_with_two_free_slots(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        self.assertIsNone(self.binding.take(reply("i0", 2), 0.01))
-        send = self.binding.take(reply("i1", 1), 0.01)
+        self.assertIsNone(self.binding.handle_reply(reply("i0", 2), 0.01))
+        send = self.binding.handle_reply(reply("i1", 1), 0.01)
         self.assertIsInstance(send, Send)
         self.assertIs(send.ticket, self.ticket)
         self.assertEqual((send.endpoint, send.occupied), ("i1", 2))
 
     def test_a_report_without_slots_is_read_with_the_declared_ones(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        self.assertIsInstance(self.binding.take(reply("i1", 1, slots=0), 0.01), Send)
+        self.assertIsInstance(
+            self.binding.handle_reply(reply("i1", 1, slots=0), 0.01), Send
+        )
 
     def test_a_reply_nobody_waits_for_is_only_noted(self):
-        self.assertIsNone(self.binding.take(reply("i1", 0), 0.01))
+        self.assertIsNone(self.binding.handle_reply(reply("i1", 0), 0.01))
         self.assertEqual(self.dispatcher.states["i1"].report.running, 0)
 
     def test_a_slow_endpoint_is_passed_by(self):
         self.dispatcher.submit(self.ticket, 0.0)
         slow = reply("i0", 0, slowness=5.0)
-        self.assertIsNone(self.binding.take(slow, 0.1))
-        self.assertIsNone(self.binding.take(slow, 0.3))
+        self.assertIsNone(self.binding.handle_reply(slow, 0.1))
+        self.assertIsNone(self.binding.handle_reply(slow, 0.3))
 
     def test_where_all_are_slow_a_slow_one_will_do(self):
         for _ in range(200):
-            self.binding.take(reply("i1", 0, slowness=5.0), 0.0)
+            self.binding.handle_reply(reply("i1", 0, slowness=5.0), 0.0)
         self.dispatcher.submit(self.ticket, 0.0)
         self.assertIsInstance(
-            self.binding.take(reply("i0", 0, slowness=5.0), 0.1), Send
+            self.binding.handle_reply(reply("i0", 0, slowness=5.0), 0.1), Send
         )
 
     def test_slow_endpoints_that_are_asked_most_do_not_count_as_usual(self):
         for _ in range(100):
             for slowness in (5.0, 5.0, 1.0):
-                self.binding.take(reply("i1", 0, slowness=slowness), 0.0)
+                self.binding.handle_reply(reply("i1", 0, slowness=slowness), 0.0)
         self.dispatcher.submit(self.ticket, 0.0)
-        self.assertIsNone(self.binding.take(reply("i0", 0, slowness=5.0), 0.1))
+        self.assertIsNone(self.binding.handle_reply(reply("i0", 0, slowness=5.0), 0.1))
 
     def test_one_that_says_it_is_not_well_is_passed_by(self):
         self.dispatcher.submit(self.ticket, 0.0)
         ill = replace(reply("i0", 0), is_unhealthy=True)
-        self.assertIsNone(self.binding.take(ill, 0.1))
-        self.assertIsInstance(self.binding.take(reply("i1", 0), 0.1), Send)
+        self.assertIsNone(self.binding.handle_reply(ill, 0.1))
+        self.assertIsInstance(self.binding.handle_reply(reply("i1", 0), 0.1), Send)
 
     def test_where_most_say_so_the_word_is_not_believed(self):
         ill = replace(reply("i0", 0), is_unhealthy=True)
         for _ in range(30):
-            self.binding.take(ill, 0.0)
+            self.binding.handle_reply(ill, 0.0)
         self.dispatcher.submit(self.ticket, 0.0)
-        self.assertIsInstance(self.binding.take(ill, 0.1), Send)
+        self.assertIsInstance(self.binding.handle_reply(ill, 0.1), Send)
 
     def refuse_first(self, now):
         """Have the endpoint refuse; return the Refusal, as there is no token."""
-        send = self.binding.take(reply("i1", 0), now)
+        send = self.binding.handle_reply(reply("i1", 0), now)
         self.dispatcher.retries.tokens = 0.0
-        self.dispatcher.settle(send, SendResult(SendStatus.REFUSED), now)
+        self.dispatcher.complete_send(send, SendResult(SendStatus.REFUSED), now)
         return self.dispatcher.retry(send.ticket, SendStatus.REFUSED, now)[0]
 
     def test_who_is_refused_by_chance_comes_back_soon(self):
@@ -125,23 +127,23 @@
 
     def test_a_full_endpoint_is_passed_by(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        self.assertIsNone(self.binding.take(reply("i0", 3), 0.1))
-        self.assertIsNone(self.binding.take(reply("i0", 3), 0.8))
+        self.assertIsNone(self.binding.handle_reply(reply("i0", 3), 0.1))
+        self.assertIsNone(self.binding.handle_reply(reply("i0", 3), 0.8))
 
     def test_a_late_request_takes_only_what_others_leave(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        self.assertIsNone(self.binding.take(reply("i0", 2), 0.3))
-        self.assertIsInstance(self.binding.take(reply("i0", 1), 0.3), Send)
+        self.assertIsNone(self.binding.handle_reply(reply("i0", 2), 0.3))
+        self.assertIsInstance(self.binding.handle_reply(reply("i0", 1), 0.3), Send)
 
     def test_a_later_try_counts_as_late(self):
         self.ticket.elapsed = 0.3
         self.dispatcher.submit(self.ticket, 0.0)
-        self.assertIsNone(self.binding.take(reply("i0", 2), 0.03))
+        self.assertIsNone(self.binding.handle_reply(reply("i0", 2), 0.03))
 
     def test_a_late_request_waits_for_what_others_learn(self):
         self.ticket.elapsed = 0.3
         self.assertEqual(self.dispatcher.submit(self.ticket, 0.0), LoadQuery(()))
-        self.assertIsInstance(self.binding.take(reply("i0", 0), 0.01), Send)
+        self.assertIsInstance(self.binding.handle_reply(reply("i0", 0), 0.01), Send)
 
     def test_late_requests_alone_ask_seldom(self):
         for _ in range(8):
@@ -154,7 +156,7 @@
         self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0, elapsed=0.3), 0.0)
         self.dispatcher.submit(self.ticket, 0.0)
         ask = self.binding.next_query(0.015)
-        self.assertEqual(len(ask.endpoints), QueryRules().at_once)
+        self.assertEqual(len(ask.endpoints), QueryRules().first_fan_out)
 
     def test_endpoints_with_an_idle_connection_are_asked_first(self):
         self.binding.selection.is_connected = lambda identity: identity in ("i1", "i3")
@@ -165,16 +167,16 @@
 
     def test_a_hedge_says_nothing_of_when_others_find_room(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        self.binding.take(reply("i0", 0), 0.1)
-        self.binding.enter_hedge(self.ticket, 60.0)
-        self.binding.take(reply("i1", 0), 60.01)
+        self.binding.handle_reply(reply("i0", 0), 0.1)
+        self.binding.add_hedge(self.ticket, 60.0)
+        self.binding.handle_reply(reply("i1", 0), 60.01)
         self.dispatcher.submit(Ticket(ROUTE, 60.1, 62.1), 60.1)
         self.assertLess(self.binding.estimate_wait(60.1), 0.1)
 
     def test_a_waiting_hedge_is_nobody_who_waits(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        self.binding.take(reply("i0", 0), 0.1)
-        self.binding.enter_hedge(self.ticket, 60.0)
+        self.binding.handle_reply(reply("i0", 0), 0.1)
+        self.binding.add_hedge(self.ticket, 60.0)
         self.assertEqual(self.binding.estimate_wait(60.05), 0.0)
 
     def test_later_rounds_ask_all_alike(self):
@@ -206,7 +208,7 @@
         for _ in range(16):
             self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.0)
         for turn in range(1, 5):
-            self.binding.take(reply(f"i{turn % 4}", 0), 0.1 * turn)
+            self.binding.handle_reply(reply(f"i{turn % 4}", 0), 0.1 * turn)
         for _ in range(4):
             self.dispatcher.submit(Ticket(ROUTE, 0.4, 2.4), 0.4)
         refusal = self.dispatcher.submit(Ticket(ROUTE, 0.4, 2.4), 0.4)
@@ -223,14 +225,14 @@
         other = Ticket(replace(ROUTE, rank=2), 0.0, 2.0)
         self.dispatcher.submit(other, 0.0)
         self.dispatcher.submit(urgent, 0.01)
-        self.assertIs(self.binding.take(reply("i0", 0), 0.02).ticket, urgent)
+        self.assertIs(self.binding.handle_reply(reply("i0", 0), 0.02).ticket, urgent)
 
     def test_one_that_can_be_in_time_goes_before_a_late_one(self):
         late = Ticket(ROUTE, 0.0, 2.0)
         early = Ticket(ROUTE, 0.5, 2.5)
         self.dispatcher.submit(late, 0.0)
         self.dispatcher.submit(early, 0.5)
-        self.assertIs(self.binding.take(reply("i0", 0), 0.51).ticket, early)
+        self.assertIs(self.binding.handle_reply(reply("i0", 0), 0.51).ticket, early)
 
     def test_it_is_refused_while_its_caller_can_try_again(self):
         self.dispatcher.submit(self.ticket, 0.0)
@@ -257,7 +259,7 @@
         service = build_service()
         rest = service.endpoints[1:]
         self.dispatcher.configure(replace(service, endpoints=rest), FLEET)
-        self.assertIsNone(self.binding.take(reply("i0", 0), 0.01))
+        self.assertIsNone(self.binding.handle_reply(reply("i0", 0), 0.01))
 
     def test_silent_endpoints_are_asked_less(self):
         for _ in range(2):
@@ -273,18 +275,18 @@
             send = self.dispatcher.start_send(
                 Ticket(ROUTE, 0.0, 2.0), self.dispatcher.states["i0"], 0.0
             )
-            self.dispatcher.settle(send, SendResult(SendStatus.FAULT), 0.05)
+            self.dispatcher.complete_send(send, SendResult(SendStatus.FAULT), 0.05)
             self.binding.record_reply(reply("i0", 0), 0.05)
-        self.assertFalse(self.dispatcher.states["i0"].health.is_open())
+        self.assertFalse(self.dispatcher.states["i0"].health.accepts_traffic())
 
     def test_an_ejected_endpoint_gets_no_request(self):
         self.dispatcher.states["i0"].health.eject(0.0)
         self.dispatcher.submit(self.ticket, 0.0)
-        self.assertIsNone(self.binding.take(reply("i0", 0), 0.01))
+        self.assertIsNone(self.binding.handle_reply(reply("i0", 0), 0.01))
 
     def test_without_reports_nobody_is_asked(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        self.binding.take(LoadReply("i0", SendStatus.ANSWERED), 0.01)
+        self.binding.handle_reply(LoadReply("i0", SendStatus.ANSWERED), 0.01)
         decision = self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.02)
         self.assertNotIsInstance(decision, LoadQuery)
         ((_, waiting),) = self.binding.expire(0.03)
@@ -307,8 +309,8 @@
         self.dispatcher.retries.tokens = 5.0
         ticket = Ticket(ROUTE, 0.0, 2.0, sends=1, tried=["i0"])
         self.dispatcher.retry(ticket, SendStatus.FAULT, 0.1)
-        self.assertIsNone(self.binding.take(reply("i0", 0), 0.11))
-        self.assertIsInstance(self.binding.take(reply("i1", 0), 0.11), Send)
+        self.assertIsNone(self.binding.handle_reply(reply("i0", 0), 0.11))
+        self.assertIsInstance(self.binding.handle_reply(reply("i1", 0), 0.11), Send)
 
 
 class NearTests(unittest.TestCase):
@@ -320,12 +322,12 @@
         dispatcher = Dispatcher(service, FLEET, random.Random(1))
         ask = dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.0)
         near = [name for name in ask.endpoints if int(name[1:]) % 2 == 0]
-        self.assertGreaterEqual(len(near), QueryRules().at_once - 1)
+        self.assertGreaterEqual(len(near), QueryRules().first_fan_out - 1)
 
     def test_where_many_are_near_a_new_request_asks_only_them(self):
         endpoints = tuple(
             Endpoint(f"10.0.0.{n}:80", "ab"[n % 2], 3, 100, f"i{n}")
-            for n in range(2 * QueryRules().many_near)
+            for n in range(2 * QueryRules().min_local)
         )
         service = replace(build_service(), endpoints=endpoints)
         for seed in range(20):
@@ -336,4 +338,4 @@
     def test_without_near_ones_others_are_asked(self):
         dispatcher = Dispatcher(build_service(), FleetView("z", 4, 8), random.Random(1))
         ask = dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.0)
-        self.assertEqual(len(set(ask.endpoints)), QueryRules().at_once)
+        self.assertEqual(len(set(ask.endpoints)), QueryRules().first_fan_out)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
@@ -41,7 +41,7 @@
 
     def name_all(self, limit, at=0.0):
         for endpoint in ("i0", "i1"):
-            self.binding.take(name(endpoint, limit, at), at + 0.01)
+            self.binding.handle_reply(name(endpoint, limit, at), at + 0.01)
 
     def submit(self, now):
         return self.dispatcher.submit(Ticket(ROUTE, now, now + 2.0), now)
@@ -51,25 +51,27 @@
         decision = self.submit(now)
         if not isinstance(decision, LoadQuery):
             return decision
-        sends = [self.binding.take(reply(e, 0), now) for e in decision.endpoints]
+        sends = [
+            self.binding.handle_reply(reply(e, 0), now) for e in decision.endpoints
+        ]
         return next((send for send in sends if send is not None), None)
 
 
 class AskedTests(LimitedCase):
     def test_endpoints_without_a_need_go_first(self):
-        self.binding.take(name("i0", 3.0, 0.0), 0.01)
+        self.binding.handle_reply(name("i0", 3.0, 0.0), 0.01)
         for number in range(10):
             ask = self.submit(0.1 + number / 1000)
             self.assertEqual(ask.endpoints, ("i1",))
 
     def test_those_in_need_are_used_when_the_others_are_full(self):
-        self.binding.take(name("i0", 3.0, 0.0), 0.01)
+        self.binding.handle_reply(name("i0", 3.0, 0.0), 0.01)
         self.submit(1.0)
-        self.assertIsNone(self.binding.take(reply("i1", 3), 1.0))
+        self.assertIsNone(self.binding.handle_reply(reply("i1", 3), 1.0))
         asked = [self.binding.next_query(1.0 + n * 0.015) for n in range(40)]
         endpoints = {name for ask in asked if ask for name in ask.endpoints}
         self.assertIn("i0", endpoints)
-        self.assertIsInstance(self.binding.take(reply("i0", 0), 1.6), Send)
+        self.assertIsInstance(self.binding.handle_reply(reply("i0", 0), 1.6), Send)
 
     def test_all_are_in_need(self):
         self.name_all(2.0)
@@ -146,10 +148,10 @@
             decision = self.submit(now)
             refused += isinstance(decision, Refusal)
             begun = [decision] if isinstance(decision, Send) else []
-            for send in [*begun, *self.dispatcher.pump(now + 0.01)]:
+            for send in [*begun, *self.dispatcher.dispatch_queued(now + 0.01)]:
                 sends += 1
                 answer = SendResult(SendStatus.ANSWERED)
-                self.dispatcher.settle(send, answer, now + 0.01)
+                self.dispatcher.complete_send(send, answer, now + 0.01)
         self.assertLessEqual(sends, 17)
         self.assertGreater(sends, 8)
         self.assertGreater(refused, 0)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_lives.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_lives.py
@@ -32,7 +32,7 @@
         self.dispatcher = Dispatcher(self.service, FLEET, random.Random(1))
         self.ticket = Ticket(ROUTE, 0.0, 2.0)
         self.dispatcher.submit(self.ticket, 0.0)
-        self.send = self.dispatcher.binding.take(reply("i0", 0), 0.01)
+        self.send = self.dispatcher.binding.handle_reply(reply("i0", 0), 0.01)
         self.old = self.dispatcher.states["i0"]
 
     def start_again(self, born=200):
@@ -62,7 +62,7 @@
         state = self.start_again()
         for _ in range(3):
             lost = SendResult(SendStatus.LOST)
-            self.dispatcher.settle(self.send, lost, 0.5)
+            self.dispatcher.complete_send(self.send, lost, 0.5)
         self.assertEqual(state.health.consecutive, 0)
         self.assertTrue(self.ticket.exposed)
 
@@ -78,6 +78,6 @@
         ticket = Ticket(ONCE, 0.0, 2.0)
         send = self.dispatcher.start_send(ticket, self.old, 0.0)
         self.start_again()
-        self.dispatcher.settle(send, SendResult(SendStatus.LOST), 0.1)
+        self.dispatcher.complete_send(send, SendResult(SendStatus.LOST), 0.1)
         refusal, _ = self.dispatcher.retry(ticket, SendStatus.LOST, 0.1)
         self.assertIs(refusal.outcome, Outcome.UNKNOWN)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_serviceavailability.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_serviceavailability.py
@@ -8,7 +8,10 @@
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.loadqueries import LoadQuery
 from hingesill_core.routing.messages import Refusal, SendResult, SendStatus, Ticket
-from hingesill_core.routing.serviceavailability import PATIENCE_SECONDS, SPREAD_SECONDS
+from hingesill_core.routing.serviceavailability import (
+    MAX_BACKOFF_WAIT_SECONDS,
+    RETRY_AFTER_SPREAD_SECONDS,
+)
 from hingesill_core.routing.tests.test_latebinding import (
     FLEET,
     ROUTE,
@@ -25,7 +28,7 @@
     def backoff(self, *seconds, now=0.0):
         for number, backoff in enumerate(seconds):
             asked = RequestedBackoff(backoff)
-            self.dispatcher.service_availability.note(
+            self.dispatcher.service_availability.record(
                 f"i{number}", 0, asked, False, now
             )
 
@@ -42,17 +45,21 @@
         self.assertIs(refusal.reason, RefusalReason.ENDPOINTS_RESTING)
         self.assertIs(refusal.outcome, Outcome.NOT_RUN)
         self.assertGreaterEqual(refusal.retry_after, 2.0)
-        self.assertLessEqual(refusal.retry_after, 2.0 + SPREAD_SECONDS)
+        self.assertLessEqual(refusal.retry_after, 2.0 + RETRY_AFTER_SPREAD_SECONDS)
 
     def test_returns_are_spread(self):
         self.backoff(3.0, 3.0, 3.0)
         returns = {self.submit(1.0).retry_after for _ in range(20)}
         self.assertEqual(len(returns), 20)
-        self.assertGreater(max(returns) - min(returns), 0.5 * SPREAD_SECONDS)
+        self.assertGreater(
+            max(returns) - min(returns), 0.5 * RETRY_AFTER_SPREAD_SECONDS
+        )
 
     def test_an_end_that_comes_at_once_is_waited_for(self):
         self.backoff(3.0, 3.0, 3.0)
-        self.assertIsInstance(self.submit(3.0 - 0.9 * PATIENCE_SECONDS), LoadQuery)
+        self.assertIsInstance(
+            self.submit(3.0 - 0.9 * MAX_BACKOFF_WAIT_SECONDS), LoadQuery
+        )
 
     def test_a_request_that_waits_already_is_refused_with_the_next_round(self):
         self.submit()
@@ -63,10 +70,12 @@
     def test_who_was_refused_by_the_last_one_comes_back_after_the_rest(self):
         self.backoff(3.0, 3.0)
         self.submit()
-        send = self.binding.take(reply("i2", 0), 0.01)
+        send = self.binding.handle_reply(reply("i2", 0), 0.01)
         result = SendResult(SendStatus.REFUSED, backoff=RequestedBackoff(2.0))
-        self.dispatcher.settle(send, result, 0.01)
-        self.dispatcher.service_availability.note("i2", 0, result.backoff, False, 0.01)
+        self.dispatcher.complete_send(send, result, 0.01)
+        self.dispatcher.service_availability.record(
+            "i2", 0, result.backoff, False, 0.01
+        )
         refusal, _ = self.dispatcher.retry(send.ticket, SendStatus.REFUSED, 0.01)
         self.assertIsInstance(refusal, Refusal)
         self.assertGreaterEqual(refusal.retry_after, 2.0)
@@ -99,8 +108,8 @@
     def test_one_that_lost_the_request_is_none_to_wait_for(self):
         self.backoff(3.0, 3.0)
         self.submit()
-        send = self.binding.take(reply("i2", 0), 0.01)
-        self.dispatcher.settle(send, SendResult(SendStatus.LOST), 0.1)
+        send = self.binding.handle_reply(reply("i2", 0), 0.01)
+        self.dispatcher.complete_send(send, SendResult(SendStatus.LOST), 0.1)
         decision, _ = self.dispatcher.retry(send.ticket, SendStatus.LOST, 0.1)
         self.assertIsInstance(decision, Refusal)
 
@@ -108,7 +117,7 @@
 class AllLeaveTests(OpeningCase):
     def test_a_new_request_is_refused_at_once(self):
         for number in range(3):
-            self.dispatcher.service_availability.note(
+            self.dispatcher.service_availability.record(
                 f"i{number}", 0, NO_BACKOFF, True, 0.0
             )
         self.assertIs(self.submit().reason, RefusalReason.NO_ENDPOINT)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
@@ -36,43 +36,51 @@
 
     def test_a_request_that_just_came_looks_for_a_warm_one(self):
         self.submit()
-        self.assertIsNone(self.binding.take(reply("i1", 0, 2.0), 0.01))
-        self.assertIsInstance(self.binding.take(reply("i2", 0, 0.0), 0.01), Send)
+        self.assertIsNone(self.binding.handle_reply(reply("i1", 0, 2.0), 0.01))
+        self.assertIsInstance(
+            self.binding.handle_reply(reply("i2", 0, 0.0), 0.01), Send
+        )
 
     def test_one_that_found_none_takes_a_cold_one_without_work(self):
         self.submit()
-        self.assertIsNone(self.binding.take(reply("i1", 1, 2.0), 0.05))
-        self.assertIsInstance(self.binding.take(reply("i1", 0, 2.0), 0.05), Send)
+        self.assertIsNone(self.binding.handle_reply(reply("i1", 1, 2.0), 0.05))
+        self.assertIsInstance(
+            self.binding.handle_reply(reply("i1", 0, 2.0), 0.05), Send
+        )
 
     def test_a_node_alone_keeps_to_the_rate(self):
         sent = 0
         for turn in range(100):
             now = turn * 0.02
             self.submit(now)
-            send = self.binding.take(reply("i1", 0, 5.0), now + 0.03)
+            send = self.binding.handle_reply(reply("i1", 0, 5.0), now + 0.03)
             if send is not None:
                 sent += 1
-                self.dispatcher.settle(
+                self.dispatcher.complete_send(
                     send, SendResult(SendStatus.ANSWERED), now + 0.03
                 )
         self.assertIn(sent, range(1, 7))
 
     def test_an_answer_does_not_tell_that_it_is_warm(self):
-        self.binding.take(reply("i1", 0, 2.0), 0.0)
+        self.binding.handle_reply(reply("i1", 0, 2.0), 0.0)
         self.submit()
-        self.assertIsNone(self.binding.take(reply("i1", 1, None), 0.05))
+        self.assertIsNone(self.binding.handle_reply(reply("i1", 1, None), 0.05))
 
     def test_an_old_word_on_its_warmth_is_none(self):
-        self.binding.take(reply("i1", 0, 0.0), 0.0)
+        self.binding.handle_reply(reply("i1", 0, 0.0), 0.0)
         late = WORD_HOLDS + 0.1
         self.submit(late)
-        self.assertIsNone(self.binding.take(reply("i1", 1, None), late + 0.05))
-        self.assertIsInstance(self.binding.take(reply("i1", 1, 0.0), late + 0.05), Send)
+        self.assertIsNone(self.binding.handle_reply(reply("i1", 1, None), late + 0.05))
+        self.assertIsInstance(
+            self.binding.handle_reply(reply("i1", 1, 0.0), late + 0.05), Send
+        )
 
     def test_without_a_declared_rate_there_is_no_limit(self):
         dispatcher = Dispatcher(build_service(), FLEET, random.Random(1))
         dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.0)
-        self.assertIsInstance(dispatcher.binding.take(reply("i1", 0, 2.0), 0.01), Send)
+        self.assertIsInstance(
+            dispatcher.binding.handle_reply(reply("i1", 0, 2.0), 0.01), Send
+        )
 
 
 class UnaskedTests(unittest.TestCase):
--- a/packages/hingesill-core/hingesill_core/routing/unhealthyreports.py
+++ b/packages/hingesill-core/hingesill_core/routing/unhealthyreports.py
@@ -10,10 +10,10 @@
 __all__ = ["UnhealthyReports"]
 
 # Weight of the newest reply in the mean; some twenty replies count.
-WEIGHT = 0.05
+REPLY_WEIGHT = 0.05
 # Share of unhealthy replies above which they are ignored: the other endpoints could not
 # do the work.
-MOST_BELIEVED = 0.5
+MAX_UNHEALTHY_SHARE = 0.5
 
 
 class UnhealthyReports(Struct):
@@ -27,10 +27,10 @@
 
     share: float = 0.0
 
-    def note(self, is_unhealthy):
+    def record(self, is_unhealthy):
         """Add a reply."""
-        self.share += WEIGHT * (is_unhealthy - self.share)
+        self.share += REPLY_WEIGHT * (is_unhealthy - self.share)
 
-    def are_believed(self):
+    def should_apply(self):
         """Tell whether unhealthy endpoints are passed by."""
-        return self.share <= MOST_BELIEVED
+        return self.share <= MAX_UNHEALTHY_SHARE
--- a/packages/hingesill-core/hingesill_core/routing/waiting.py
+++ b/packages/hingesill-core/hingesill_core/routing/waiting.py
@@ -4,10 +4,10 @@
 
 from hingesill_core.routing.loadqueries import Stage
 
-__all__ = ["Waiting"]
+__all__ = ["WaitingRequest"]
 
 
-class Waiting(Struct, eq=False):
+class WaitingRequest(Struct, eq=False):
     """A request that waits for a reply that will do; times of the node's clock.
 
     Attributes
@@ -36,7 +36,7 @@
             return Stage.SELECTIVE
         if now >= self.late_at:
             return Stage.LATE
-        is_new = now < self.since + rules.selective
+        is_new = now < self.since + rules.selective_seconds
         return Stage.SELECTIVE if is_new else Stage.ACCEPTING
 
     def get_order(self, now):
--- a/packages/hingesill-core/hingesill_core/routing/warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/warmup.py
@@ -114,7 +114,7 @@
             return True
         if state.is_entry_new:
             state.is_entry_new = False
-            state.record_warm_up(state.entered_warm_in, now)
+            state.record_warm_up(state.entry_warm_in, now)
         if now >= state.warm_at:
             return True
         return state.cold_share.take(self.rate, self.nodes, now, rng)
--- a/packages/hingesill-node/hingesill_node/datapath/exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/exchange.py
@@ -176,11 +176,11 @@
             return float("inf")
         if self.guard.is_suspect(self.request):
             return float("inf")
-        overdue = self.runner.dispatcher.hedging.get_overdue_time(live.send)
+        overdue = self.runner.dispatcher.hedging.get_hedge_delay(live.send)
         return live.send.started + overdue
 
     def _get_next_try(self, now):
-        return self.runner.dispatcher.hedging.get_next_try(self.ticket, now)
+        return self.runner.dispatcher.hedging.get_next_attempt_time(self.ticket, now)
 
     def _wait(self, racing, until):
         """Wait for a send that can be read, the caller, or a time.
--- a/packages/hingesill-node/hingesill_node/datapath/hedges.py
+++ b/packages/hingesill-node/hingesill_node/datapath/hedges.py
@@ -29,7 +29,7 @@
         found = self.room.wait(exchange.request, ask)
         self.is_waiting = False
         if not isinstance(found.decision, Send):
-            runner.dispatcher.hedging.end(exchange.ticket)
+            runner.dispatcher.hedging.cancel(exchange.ticket)
         elif self.is_wanted and not runner.guard.is_suspect(exchange.request):
             self._start(found)
         else:
@@ -41,7 +41,7 @@
         """Send to the endpoint that was found."""
         started = self.exchange.sends.start(found.decision, found.connection)
         if started is SendStatus.NOT_SENT:
-            self.exchange.runner.dispatcher.hedging.end(self.exchange.ticket)
+            self.exchange.runner.dispatcher.hedging.cancel(self.exchange.ticket)
 
     def withdraw(self):
         """Send nothing any more."""
--- a/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
@@ -69,7 +69,7 @@
                 return found
             if is_caller_gone(request.caller_socket) and not event.ready():
                 self._events.pop(ticket, None)
-                self.binding.leave(ticket)
+                self.binding.remove(ticket)
                 outcome = Outcome.UNKNOWN if ticket.exposed else Outcome.NOT_RUN
                 return Found(Refusal(RefusalReason.CALLER_GONE, outcome))
 
@@ -84,7 +84,7 @@
         if not self._events:
             return
         reply = LoadReply(endpoint, SendStatus.ANSWERED, report)
-        send = self.binding.take(reply, self.runner.clock())
+        send = self.binding.handle_reply(reply, self.runner.clock())
         if send is not None:
             self._hand(send.ticket, Found(send))
 
@@ -95,7 +95,7 @@
 
     def withdraw(self, ticket):
         """Let a request wait no longer; its green thread goes on with nothing."""
-        self.binding.leave(ticket)
+        self.binding.remove(ticket)
         self._hand(ticket, Found(None))
 
     def _keep(self):
@@ -192,7 +192,7 @@
 
     def _take(self, reply, pool, connection, response):
         """Give the reply, and the connection that brought it, to a request."""
-        send = self.binding.take(reply, self.runner.clock())
+        send = self.binding.handle_reply(reply, self.runner.clock())
         if send is not None and self._hand(send.ticket, Found(send, connection)):
             return
         if connection is not None:
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -131,9 +131,9 @@
     def settle(self, send, result):
         """Hand a send's end to the dispatcher and start what can go now."""
         state = self.dispatcher.find_state(send)
-        was_open = state is None or state.health.is_open()
-        self.dispatcher.settle(send, result, self.clock())
-        if state is not None and state.health.is_open() != was_open:
+        was_open = state is None or state.health.accepts_traffic()
+        self.dispatcher.complete_send(send, result, self.clock())
+        if state is not None and state.health.accepts_traffic() != was_open:
             event = Event.ENDPOINT_EJECTED if was_open else Event.ENDPOINT_BACK
             log_event(event, endpoint=send.endpoint)
         if result.report is not None and self.room is not None and state is not None:
@@ -158,7 +158,7 @@
         if not backoff.is_valid:
             self._complain(Event.REST_INVALID, send.endpoint, now)
         self.dispatcher.record_limit(send, limit, now)
-        self.dispatcher.service_availability.note(
+        self.dispatcher.service_availability.record(
             send.endpoint, send.born, backoff, result.leaving, now
         )
         if result.leaving:
@@ -188,7 +188,7 @@
         """Return the seconds until an answer takes suspiciously long."""
         if not self.announce.is_connected:
             return float("inf")
-        ratio = self.dispatcher.view.get_suspicious_ratio()
+        ratio = self.dispatcher.service_view.get_suspicious_ratio()
         left = send.started + ratio * send.expected - now
         return left if left > 0 else SUSPICION_REPEAT_SECONDS
 
@@ -197,13 +197,13 @@
         if not self.announce.is_connected:
             return
         ratio = (now - send.started) / send.expected
-        if ratio < self.dispatcher.view.get_suspicious_ratio():
+        if ratio < self.dispatcher.service_view.get_suspicious_ratio():
             return
         self.announce.announce_suspicion(send.endpoint, ratio, now)
 
     def pump(self):
         """Wake the held requests that can go now."""
-        for send in self.dispatcher.pump(self.clock()):
+        for send in self.dispatcher.dispatch_queued(self.clock()):
             self.held.pop(send.ticket).send(send)
 
     def wait_held(self, request):
@@ -218,7 +218,7 @@
                 return decision
             if is_caller_gone(request.caller_socket) and not event.ready():
                 self.held.pop(ticket, None)
-                self.dispatcher.abandon(ticket)
+                self.dispatcher.remove_queued(ticket)
                 outcome = Outcome.UNKNOWN if ticket.exposed else Outcome.NOT_RUN
                 return Refusal(RefusalReason.CALLER_GONE, outcome)
 
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
@@ -66,7 +66,9 @@
     def take(self):
         dispatcher = self.runner.dispatcher
         now = self.runner.clock()
-        dispatcher.service_availability.note("i1", 0, RequestedBackoff(3.0), False, now)
+        dispatcher.service_availability.record(
+            "i1", 0, RequestedBackoff(3.0), False, now
+        )
         return self.connection
 
     def give_back(self, connection, idle_seconds=None):
@@ -98,7 +100,7 @@
 
         hedging = self.runner.dispatcher.hedging
         hedging.start = deny
-        hedging.get_overdue_time = lambda send: 0.1
+        hedging.get_hedge_delay = lambda send: 0.1
         self.assertIs(self.exchange._await_first(self.live), SendStatus.LATE)
         self.assertGreaterEqual(len(tries), 2)
         self.assertLessEqual(len(tries), 4)
@@ -106,7 +108,7 @@
     def test_one_that_no_rule_allows_is_not(self):
         tries = []
         hedging = self.runner.dispatcher.hedging
-        hedging.get_overdue_time = lambda send: 0.1
+        hedging.get_hedge_delay = lambda send: 0.1
         self.ticket.sends = ROUTE.most_sends
         start = hedging.start
         hedging.start = lambda *values: tries.append(values) or start(*values)
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
@@ -112,12 +112,12 @@
     def test_its_rest_counts_though_it_does_not_name_the_endpoint(self):
         state = self.ask()
         self.assertTrue(state.availability.is_backing_off(self.runner.clock()))
-        self.assertEqual(state.reach.consecutive, 0)
+        self.assertEqual(state.query_health.consecutive, 0)
 
     def test_that_of_another_endpoint_does_not(self):
         state = self.ask(named="i2")
         self.assertFalse(state.availability.is_backing_off(self.runner.clock()))
-        self.assertEqual(state.reach.consecutive, 1)
+        self.assertEqual(state.query_health.consecutive, 1)
 
 
 class WaitingRoomTests(RoomTestCase):
--- a/packages/hingesill-node/hingesill_node/explanation.py
+++ b/packages/hingesill-node/hingesill_node/explanation.py
@@ -48,9 +48,9 @@
                 endpoint=state.identity,
                 eligible=not reason,
                 reason=reason,
-                score_ms=state.estimate_wait(now) * dispatcher.pace.median * 1000,
+                score_ms=state.estimate_wait(now) * dispatcher.latency.median * 1000,
                 in_flight=state.in_flight,
-                reported_load=state.estimate_others(now),
+                reported_load=state.estimate_peer_load(now),
             )
         reply.candidates.sort(key=lambda candidate: candidate.score_ms)
         return reply
@@ -62,7 +62,7 @@
         return "it is leaving"
     if state.health.is_ejected(now):
         return "it was ejected after failures"
-    if not state.health.is_open():
+    if not state.health.accepts_traffic():
         return "it awaits a trial"
     if state.availability.is_backing_off(now):
         return "it asked for a rest"
