--- a/packages/hingesill-core/hingesill_core/routing/availability.py
+++ b/packages/hingesill-core/hingesill_core/routing/availability.py
@@ -1,4 +1,4 @@
-"""Whether endpoints take new requests of this node, by what they said themselves."""
+"""Availability of endpoints: back-off and draining, as their responses report them."""
 
 from math import inf
 from weakref import WeakValueDictionary
@@ -15,31 +15,32 @@
     "INVALID_BACKOFF",
 ]
 
-# Upper bound of a rest, in seconds.
+# Upper bound of a back-off, in seconds.
 MAX_BACKOFF_SECONDS = 600.0
-# Rest that is assumed where its length cannot be parsed, in seconds.
+# Back-off that is assumed where its length cannot be parsed, in seconds.
 INVALID_BACKOFF_SECONDS = 1.0
-# Time for which an address counts as leaving, in seconds, where it identifies no life.
+# Time for which an address counts as leaving where it identifies no incarnation, in
+# seconds.
 LEAVING_SECONDS = 30.0
 # Remaining part of that time in which the endpoint is probed, in seconds.
 LEAVING_RENEWAL_SECONDS = 10.0
-# Time for which a leaving life is remembered, in seconds.
+# Time for which the availability of a leaving incarnation is retained, in seconds.
 RETENTION_SECONDS = 3600.0
-# Most lives that are remembered without being in the directory.
+# Upper bound of retained incarnations that are not in the directory.
 MAX_RETAINED_INCARNATIONS = 65_536
 # Interval of clean-ups, in seconds.
 CLEAN_UP_INTERVAL_SECONDS = 10.0
 
 
 class RequestedBackoff(Struct, frozen=True):
-    """What an answer says on the rest that its endpoint wants from this node.
+    """The back-off that a response requests from this node.
 
     Parameters
     ----------
     seconds : float
-        How long; 0 if it asks for none.
+        Its length; 0 if none is requested.
     is_valid : bool
-        False if it asks for something that is no length of time.
+        False if the length could not be parsed.
     """
 
     seconds: float
@@ -51,18 +52,18 @@
 
 
 class AvailabilityChange(Struct, frozen=True):
-    """A rest that begins, or an endpoint's first word that it is leaving.
+    """The start of a back-off, or the first report that an endpoint is leaving.
 
     Parameters
     ----------
     service, endpoint : str
         The service, and the endpoint's identity.
     born : int
-        The life that said so.
-    rest : float or None
-        Seconds of the rest; None if the endpoint is leaving.
+        Incarnation that reported it.
+    backoff : float or None
+        Length of the back-off in seconds; None if the endpoint is leaving.
     availability : Availability
-        Of that life, as it goes on.
+        Availability of that incarnation, updated later.
     """
 
     service: str
@@ -73,16 +74,17 @@
 
 
 class Availability(Struct, eq=False, weakref=True):
-    """What one life of an endpoint said on new requests of this node.
+    """Back-off and draining that one incarnation of an endpoint reported.
 
     Attributes
     ----------
     backoff_until : float
-        It asked to be left alone until then, in seconds of the node's clock.
+        End of its back-off, in seconds of the node's clock.
     leaving_until, leaving_reported_at : float
-        Until when it counts as leaving, and when it last said so, on the same clock.
+        Time until which it counts as leaving, and time of its last report that it is
+        leaving, on the same clock.
     has_instance_id : bool
-        Its identity is that of one life, which does not come back once it has left.
+        Its identity belongs to one incarnation, which does not return after leaving.
     """
 
     backoff_until: float = -inf
@@ -91,19 +93,19 @@
     has_instance_id: bool = False
 
     def record_backoff(self, seconds, now):
-        """Take a rest that the endpoint asks for; the longest end stands.
+        """Record a requested back-off; the latest end applies.
 
         Parameters
         ----------
         seconds : float
-            From now on.
+            Length of the back-off.
         now : float
-            When the answer was read, in seconds of the node's clock.
+            Time at which the response was read, in seconds of the node's clock.
 
         Returns
         -------
         bool
-            Whether a rest begins with it.
+            Whether this starts a back-off.
         """
         begins = not self.is_backing_off(now)
         until = now + min(seconds, MAX_BACKOFF_SECONDS)
@@ -111,12 +113,12 @@
         return begins and self.is_backing_off(now)
 
     def record_leaving(self, now):
-        """Note that the endpoint is leaving; return whether that is new.
+        """Record that the endpoint is leaving; return whether that is new.
 
         Parameters
         ----------
         now : float
-            When the answer was read, in seconds of the node's clock.
+            Time at which the response was read, in seconds of the node's clock.
         """
         is_new = not self.is_leaving(now)
         self.leaving_reported_at = now
@@ -124,25 +126,25 @@
         return is_new
 
     def is_leaving(self, now):
-        """Tell whether the endpoint said that it is leaving."""
+        """Return whether the endpoint reported that it is leaving."""
         return now < self.leaving_until
 
     def needs_leave_renewal(self, now):
-        """Tell whether it has to be asked soon whether it is still leaving."""
+        """Return whether a probe is due to check that it is still leaving."""
         return (
             self.is_leaving(now) and self.leaving_until - now < LEAVING_RENEWAL_SECONDS
         )
 
     def is_backing_off(self, now):
-        """Tell whether the endpoint wants nothing from this node."""
+        """Return whether the endpoint's back-off lasts."""
         return now < self.backoff_until
 
     def takes_requests(self, now):
-        """Tell whether a request may be sent there."""
+        """Return whether a request may be sent to the endpoint."""
         return now >= self.backoff_until and now >= self.leaving_until
 
     def should_retain(self, now):
-        """Tell whether it may still say something on a life that comes back."""
+        """Return whether the record still matters if the incarnation returns."""
         return (
             self.is_backing_off(now)
             or now - self.leaving_reported_at < RETENTION_SECONDS
@@ -150,7 +152,7 @@
 
 
 class AvailabilityRegistry:
-    """The Availability of each endpoint's life, for all services of a node.
+    """The Availability of each endpoint incarnation, for all services of a node.
 
     Parameters
     ----------
@@ -160,12 +162,12 @@
     Attributes
     ----------
     has_instance_ids : bool
-        Identities are no addresses, which other endpoints may have later.
+        Identities are instance ids, not addresses that other endpoints may reuse.
 
     Notes
     -----
-    A life may leave the directory and come back, as its entry lapses in an outage of
-    the store or its service is declared anew. What it said counts until it ends.
+    An incarnation may disappear from the directory and return, as its entry lapses in
+    a store outage or its service is declared again. Its reports apply until it ends.
     """
 
     def __init__(self, observe=lambda change: None):
@@ -176,14 +178,14 @@
         self._clean_up_at = -inf
 
     def get(self, identity, born):
-        """Return the Availability of a life, made on first use.
+        """Return the Availability of an incarnation, created on first use.
 
         Parameters
         ----------
         identity : str
-            The endpoint's.
+            The endpoint's identity.
         born : int
-            Its life.
+            Its incarnation.
         """
         key = (identity, born)
         availability = self._known.get(key)
@@ -194,18 +196,18 @@
         return availability
 
     def record_backoff(self, service, identity, born, backoff, now):
-        """Take what an answer of a life says on the rest that it wants.
+        """Record the back-off that a response requests.
 
         Parameters
         ----------
         service, identity : str
             The service, and the endpoint's identity.
         born : int
-            The life that answered.
-        rest : RequestedBackoff
-            In the head of the answer.
+            Incarnation that responded.
+        backoff : RequestedBackoff
+            Back-off in the response headers.
         now : float
-            When that was read, in seconds of the node's clock.
+            Time at which they were read, in seconds of the node's clock.
         """
         if not backoff.seconds:
             return
@@ -215,16 +217,16 @@
             self._publish_change(service, identity, born, backoff.seconds)
 
     def record_leaving(self, service, identity, born, now):
-        """Note that a life is leaving by its own answer.
+        """Record a response that reports the endpoint as leaving.
 
         Parameters
         ----------
         service, identity : str
             The service, and the endpoint's identity.
         born : int
-            The life that answered.
+            Incarnation that responded.
         now : float
-            When the answer was read, in seconds of the node's clock.
+            Time at which the response was read, in seconds of the node's clock.
         """
         availability = self.get(identity, born)
         self._retain((identity, born), availability, now)
@@ -238,19 +240,19 @@
 
     @property
     def has_retained(self):
-        """Whether any life said something lately."""
+        """Whether there are recent reports of any incarnation."""
         return bool(self._retained)
 
     def count_backing_off(self, now):
-        """Return how many lives want nothing from this node now."""
+        """Return the number of incarnations whose back-off lasts."""
         return sum(item.is_backing_off(now) for item in self._retained.values())
 
     def count_leaving(self, now):
-        """Return how many lives are leaving by their own word."""
+        """Return the number of incarnations that reported that they are leaving."""
         return sum(item.is_leaving(now) for item in self._retained.values())
 
     def _retain(self, key, availability, now):
-        """Keep what a life said though nothing else refers to it."""
+        """Keep an availability that nothing else refers to, and drop outdated ones."""
         if now >= self._clean_up_at:
             self._clean_up_at = now + CLEAN_UP_INTERVAL_SECONDS
             self._retained = {
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -1,4 +1,4 @@
-"""One service at one node: from a request to an endpoint, and what it learns."""
+"""The routing decisions of one node for one service."""
 
 from hingesill_core.limits.latency import LatencyEstimate
 from hingesill_core.limits.querybudget import QueryBudget
@@ -22,11 +22,12 @@
 
 __all__ = ["Dispatcher"]
 
+# Round-trip time to another data centre, in seconds.
 CROSS_DATA_CENTRE_RTT_SECONDS = 0.003
 
 
 class Dispatcher:
-    """The decisions for one service. Not safe for use by several threads.
+    """Routes the requests of one service. Not safe for use by several threads.
 
     Parameters
     ----------
@@ -37,13 +38,15 @@
     rng : random.Random
         Source of all random choices.
     query_pool : QueryBudget or None
-        Shared with other services of the node.
+        Budget of load queries shared with other services of the node.
     curves : LatencyCurves or None
-        Of all services of the node.
+        Latency curves of all services of the node.
     limits : ServiceLimits or None
-        What the service's endpoints in need still take; of this node alone if None.
+        Rate limits that the service's endpoints request; without it, those known to
+        this node alone.
     availabilities : AvailabilityRegistry or None
-        Of all endpoints' lives that the node knows; of this service alone if None.
+        Availability of all endpoint incarnations that the node knows; without it, of
+        this service alone.
     """
 
     def __init__(
@@ -76,12 +79,12 @@
         self.configure(service, fleet)
 
     def configure(self, service, fleet):
-        """Put a declaration and a view of the fleet in force.
+        """Apply a declaration and a view of the fleet.
 
         Notes
         -----
-        What was learnt of an endpoint that stays is kept. One that is gone gets
-        no new work from here on; sends in flight there settle as usual.
+        The state of an endpoint that remains is kept. A removed endpoint gets no new
+        requests; sends in flight there complete as usual.
         """
         self.service = service
         self.fleet = fleet
@@ -108,7 +111,7 @@
 
     def _build_state(self, endpoint):
         state = self.states.get(endpoint.identity)
-        # One that started again holds and knows nothing of what was sent before.
+        # A restarted endpoint has none of the requests sent before.
         if state is None or state.born != endpoint.born:
             born = endpoint.born
             state = EndpointState(
@@ -127,41 +130,42 @@
         return state
 
     def _accepts_work(self, endpoint, now):
-        """Tell whether an endpoint takes new work, whatever limit it names."""
+        """Return whether an endpoint accepts new requests, apart from its limit."""
         state = self.states.get(endpoint)
         if state is None or not takes_work(state, now):
             return False
         return not state.health.is_ejected(now)
 
     def record_limit(self, send, named, now):
-        """Take what the head of a send's answer named as the endpoint's limit.
+        """Record the rate limit in the response headers of a send.
 
         Parameters
         ----------
         send : Send
-            As it was given out.
+            The send that was answered.
         named : ParsedLimit or None
-            None if it was not this endpoint's.
+            None if another endpoint sent the response.
         now : float
-            The time.
+            Seconds of the node's clock.
         """
         if named is not None:
             self.limits.note(send.endpoint, send.born, named, send.started, now)
 
     def get_latency(self, route):
-        """Return how long the answers of a route take."""
+        """Return the latency estimate of a route, created on first use."""
         latency = self.latencies.get(route)
         if latency is None:
             latency = self.latencies[route] = LatencyEstimate()
         return latency
 
     def submit(self, ticket, now):
-        """Take a new request.
+        """Route a new request.
 
         Returns
         -------
-        Ask, Send, Hold or Refusal
-            Whom to ask first, where to send it, to hold it, or its final answer.
+        LoadQuery, Send, Queued or Refusal
+            The endpoints to query first, the endpoint to send to, the notice that the
+            request is queued, or its final response.
         """
         self.last_submit_at = now
         self.hedging.budget.earn()
@@ -172,13 +176,13 @@
         return self.dispatch_without_query(ticket, now)
 
     def begin_queries(self, ticket, now):
-        """Return an Ask or a Refusal, or None if this service does not ask."""
+        """Return a LoadQuery or Refusal, or None where no load queries are used."""
         if self.service.policy != FRESH_REPORT_POLICY:
             return None
         return self.binding.add_request(ticket, now)
 
     def dispatch_without_query(self, ticket, now):
-        """Choose by what is known already; return Send, Hold or Refusal."""
+        """Route a request by known state; return Send, Queued or Refusal."""
         if ticket.route.live or not self.queue.get_first(live=True):
             send = self.assign(ticket, now)
             if send is not None:
@@ -186,7 +190,7 @@
         return self.queue_or_refuse(ticket, now)
 
     def queue_or_refuse(self, ticket, now):
-        """Return Hold if a request can wait and still be in time, else its Refusal."""
+        """Queue a request that can still meet its deadline, else return its Refusal."""
         if not self.has_eligible_endpoint(ticket.route, now):
             return self.refuse(ticket, RefusalReason.NO_ENDPOINT, now)
         refusal = self.service_availability.find_refusal(ticket, now)
@@ -204,7 +208,12 @@
         return Queued()
 
     def _ensure_queue_capacity(self, ticket):
-        """Tell whether the queue can take a ticket; a live one displaces others."""
+        """Return whether a ticket fits into the queue.
+
+        Notes
+        -----
+        A live ticket evicts a deferrable one from a full queue.
+        """
         if len(self.queue) < self.queue.limit:
             return True
         evicted = self.queue.evict_deferrable() if ticket.route.live else None
@@ -214,7 +223,7 @@
         return True
 
     def refuse(self, ticket, reason, now):
-        """Return the final answer of a request that is given up."""
+        """Return the Refusal of a request that is given up."""
         outcome = Outcome.UNKNOWN if ticket.exposed else Outcome.NOT_RUN
         if reason is RefusalReason.ENDPOINTS_LIMITED:
             wait = self.limits.grant_client.get_wait(now)
@@ -224,7 +233,7 @@
         return Refusal(reason, outcome, self.suggest_retry_after(ticket.route, now))
 
     def suggest_retry_after(self, route, now):
-        """Return the seconds after which a caller finds room, as far as known."""
+        """Return the Retry-After in seconds, estimated from the current load."""
         backoff = self.service_availability.suggest_retry_after(route, now)
         if backoff is not None:
             return backoff
@@ -236,7 +245,7 @@
         return self.latency.suggest_retry_after(wait, self.rng)
 
     def has_eligible_endpoint(self, route, now):
-        """Tell whether any endpoint takes a route's new work, busy or not."""
+        """Return whether any endpoint accepts a route's new requests, busy or not."""
         return any(
             state.serves_route(route)
             and not state.is_draining(now)
@@ -245,7 +254,7 @@
         )
 
     def assign(self, ticket, now):
-        """Send a ticket to an endpoint with a free place, if there is one."""
+        """Send a ticket to an endpoint with a free in-flight slot, if there is one."""
         free = [
             state for state in self.states.values() if self._is_free(state, ticket, now)
         ]
@@ -257,14 +266,14 @@
         return self.start_send(ticket, self.choose(free, now, self.rng), now)
 
     def _is_free(self, state, ticket, now):
-        """Tell whether an endpoint may get a request by what is known already."""
+        """Return whether an endpoint may get a request without a load query."""
         warm_up = self.binding.warm_up
         if not state.has_capacity(ticket, now):
             return False
         return warm_up.allows_without_query(state, now, self.rng)
 
     def start_send(self, ticket, state, now, hedge=False):
-        """Return a Send to an endpoint, with all that is noted of it."""
+        """Return a Send to an endpoint and record it in the states."""
         load = state.predict_load(now)
         expected = load * self.get_latency(ticket.route).median
         send = Send(ticket, state.identity, now, expected, load, hedge, born=state.born)
@@ -274,7 +283,7 @@
         return send
 
     def dispatch_queued(self, now):
-        """Yield a Send for each held request that can go now."""
+        """Yield a Send for each queued request that can be sent now."""
         if self.limits.limited:
             patience = max((t.deadline - now for t in self.queue), default=0.0)
             self.limits.grant_client.want(len(self.queue), patience, now)
@@ -290,12 +299,12 @@
                 return
 
     def expire(self, now):
-        """Yield (ticket, Refusal) for each held request that is given up on.
+        """Yield (ticket, Refusal) for each queued request that is given up.
 
         Notes
         -----
-        A request goes as soon as not even a quick answer would be in time, and
-        deferrable ones once a live one has taken their place.
+        A request is refused as soon as even an answer within the tenth percentile would
+        miss its deadline; a deferrable one also when a live request has evicted it.
         """
         for ticket in list(self.queue):
             refusal = self._find_final_refusal(ticket, now)
@@ -313,7 +322,7 @@
             yield ticket, self.refuse(ticket, RefusalReason.DISPLACED, now)
 
     def _find_final_refusal(self, ticket, now):
-        """Return the Refusal of a held request that cannot be served, or None."""
+        """Return the Refusal of a queued request that cannot be served, or None."""
         if not self.has_eligible_endpoint(ticket.route, now):
             return self.refuse(ticket, RefusalReason.NO_ENDPOINT, now)
         if now + self.get_latency(ticket.route).p10 > ticket.deadline:
@@ -321,20 +330,20 @@
         return self.service_availability.find_refusal(ticket, now)
 
     def remove_queued(self, ticket):
-        """Forget a held request whose caller is gone."""
+        """Remove a queued request whose caller has disconnected."""
         self.queue.remove(ticket)
 
     def complete_send(self, send, result, now):
-        """Take the end of a send and learn from it.
+        """Record the result of a send.
 
         Parameters
         ----------
         send : Send
-            As it was given out.
+            The send that ended.
         result : SendResult
-            What became of it.
+            How it ended, and the endpoint's reports.
         now : float
-            The time.
+            Seconds of the node's clock.
         """
         mark_may_have_run(send.ticket, result.end)
         state = self.find_state(send)
@@ -348,14 +357,14 @@
             self.binding.record_answer(send, seconds, now)
         if result.end in NOT_EXECUTED:
             send.ticket.sends -= 1
-        # An endpoint that asks for a rest is not unhealthy.
+        # A requested back-off is no sign of an unhealthy endpoint.
         end = SendStatus.REFUSED if result.backoff.seconds else result.end
         recovered = state.health.record(end, now, self._may_eject(now))
         if recovered or result.cold:
             state.cold_since = now
 
     def find_state(self, send):
-        """Return the state of the endpoint's life that a send was for, or None."""
+        """Return the state of the incarnation that a send was for, or None."""
         state = self.states.get(send.endpoint)
         return state if state is not None and state.born == send.born else None
 
@@ -375,15 +384,15 @@
         return (ejected + 1) * 2 <= len(self.states)
 
     def retry(self, ticket, end, now):
-        """Decide what follows a send that brought no answer; see `Retrying.decide`."""
+        """Decide whether to retry a failed send; see `RetryHandler.decide`."""
         return self.retrying.decide(ticket, end, now)
 
     def record_probe(self, endpoint, result, now):
-        """Take what a probe told of an endpoint.
+        """Record the result of a health probe.
 
         Notes
         -----
-        Its time is not that of a request, so it says nothing on slowness.
+        A probe's duration is not that of a request, so it doesn't count as slowness.
         """
         state = self.states.get(endpoint)
         if state is None:
@@ -404,23 +413,23 @@
             state.cold_since = now
 
     def record_suspicion(self, endpoint, ratio, now):
-        """Take another node's word that an endpoint's answers are overdue.
+        """Record another node's report of overdue answers of an endpoint.
 
         Parameters
         ----------
         endpoint : str
             Its address.
         ratio : float
-            How many times longer than typical an answer takes there.
+            How many times longer than the median an answer takes there.
         now : float
-            The time.
+            Seconds of the node's clock.
         """
         state = self.states.get(endpoint)
         if state is not None:
             state.record_suspicion(ratio, now)
 
     def mark_draining(self, endpoint, until):
-        """Give an endpoint no new work until a time."""
+        """Send no new requests to an endpoint until a time."""
         state = self.states.get(endpoint)
         if state is not None:
             state.draining_until = until
--- a/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
+++ b/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a node knows of an endpoint, from its own traffic and from reports."""
+"""The state of an endpoint at one node, from its own traffic and from reports."""
 
 from collections import OrderedDict
 from math import exp
@@ -13,36 +13,55 @@
 
 __all__ = ["EndpointState", "ServiceView"]
 
+# Weight of the newest answer in the mean slowness.
 SLOWNESS_WEIGHT = 0.2
+# Upper bound of the slowness of one answer.
 MAX_SLOWNESS = 100.0
+# Time constant at which the mean slowness decays without answers, in seconds.
 SLOWNESS_DECAY_SECONDS = 0.25
+# Time constant at which a load report decays to the mean, in seconds.
 REPORT_DECAY_SECONDS = 0.02
+# Weight of the newest report in the mean load from other nodes.
 PEER_LOAD_WEIGHT = 0.05
+# Step at which the quantile of latency ratios is followed.
 RATIO_STEP = 0.1
+# Quantile of latency ratios up to which an answer counts as usual.
 RATIO_QUANTILE = 0.9
+# Smallest latency ratio that is announced to other nodes.
 MIN_SUSPICIOUS_RATIO = 2.2
+# Ratio of a suspicious answer to the quantile of latency ratios.
 SUSPICIOUS_FACTOR = 1.6
+# Time constant at which suspicion decays, in seconds.
 SUSPICION_DECAY_SECONDS = 0.03
+# Weight of one announcement in the suspicion.
 SUSPICION_WEIGHT = 0.5
+# Upper bound of the suspicion.
 MAX_SUSPICION = 20.0
+# Suspicion below which it counts as none.
 MIN_SUSPICION = 0.05
+# Duration of the slow start after a return or a cold start, in seconds.
 SLOW_START_SECONDS = 2.0
+# Share of its full load that an endpoint gets at the beginning of the slow start.
 MIN_SLOW_START_SHARE = 0.25
+# Factor by which the share of faults lengthens the expected wait.
 FAULT_PENALTY = 10.0
-# Pause after a refusal, in seconds.
+# Back-off after a refusal, in seconds.
 REFUSED_BACKOFF_SECONDS = 0.01
+# Time for which only a repeatable request may be the trial request, in seconds.
 REPEATABLE_TRIAL_SECONDS = 5.0
+# Failed load queries in a row after which an endpoint is queried less.
 QUERY_FAILURES_TO_EJECT = 2
+# Longest pause between load queries to a failing endpoint, in seconds.
 MAX_QUERY_EJECTION_SECONDS = 1.0
 
 
 def build_query_health():
-    """Return the record of questions that an endpoint did not answer.
+    """Return the health record of an endpoint's load queries.
 
     Notes
     -----
-    A trial is one more question and harms no request, so the endpoint is tried
-    again soon; two failures in a row are needed as one packet may be lost.
+    A trial is one more load query and harms no request, so it follows soon. Two
+    failures in a row are needed, as a single packet may be lost.
     """
     return Health(
         failures_to_eject=QUERY_FAILURES_TO_EJECT,
@@ -58,9 +77,9 @@
     peer_load : float
         Mean number of other nodes' requests at an endpoint.
     sends_started : int
-        Sends of this node so far.
+        Number of this node's sends so far.
     high_ratio : float
-        Nine in ten answers take at most so many times the expected time.
+        The 90th percentile of actual to expected latency.
     """
 
     peer_load: float = 0.0
@@ -68,65 +87,64 @@
     high_ratio: float = 1.5
 
     def record_ratio(self, ratio):
-        """Take how many times longer than expected an answer took."""
+        """Record the ratio of an answer's actual to its expected latency."""
         if ratio > self.high_ratio:
             self.high_ratio += RATIO_STEP * RATIO_QUANTILE
         else:
             self.high_ratio -= RATIO_STEP * (1 - RATIO_QUANTILE)
 
     def get_suspicious_ratio(self):
-        """Return the ratio from which an answer is worth telling peer_load of.
+        """Return the ratio from which an overdue answer is announced to other nodes.
 
         Notes
         -----
-        Under load many answers take long everywhere. What nine in ten stay
-        below is no sign that one endpoint is slower than the rest.
+        Under load many answers take long at all endpoints. A ratio that nine in ten
+        answers stay below does not show that one endpoint is slower than the others.
         """
         return max(MIN_SUSPICIOUS_RATIO, SUSPICIOUS_FACTOR * self.high_ratio)
 
     def record_report(self, report):
-        """Take a report into the mean."""
+        """Add a load report to the mean."""
         peer_load = max(0, report.running - report.own_in_flight)
         self.peer_load += PEER_LOAD_WEIGHT * (peer_load - self.peer_load)
 
 
 class EndpointState(Struct, eq=False):
-    """One endpoint of a service as one node sees it; times in seconds.
+    """The state of one endpoint of a service at one node; times in seconds.
 
     Attributes
     ----------
     born : int
-        Of which life of the endpoint it is the state.
+        Incarnation of the endpoint.
     slowness : float
-        Running mean of how many times longer than typical for their route its
-        answers take.
+        Running mean of the ratio of its answers' latency to the median of their route.
     sent : OrderedDict
         Sends in flight, the oldest first.
     last_send_number : int
-        The number of its last send among all of the service's.
+        Number of its last send among all sends of the service.
     availability : Availability
-        What this life of the endpoint said on new requests.
+        Back-off and draining that this incarnation reported.
     draining_until : float
-        Until when it is leaving by the word of peer_load.
+        Time until which it is draining, by the store or other nodes.
     suspicion, suspected_at : float
-        What other nodes told of overdue answers, and when it was reckoned.
+        Slowness reported by other nodes, and the time of its last update.
     queried_at : float
-        When it was last asked for its load.
+        Time of the last load query.
     region : str
-        Where it runs; empty if that is not known.
+        Its region; empty if that is not known.
     distance : float
-        Way to its data centre and back, in typical answers' times.
+        Round-trip time to its data centre, in median latencies.
     warm_at, warm_up_reported_at : float
-        Until when it is cold by its last word, and when that word came.
+        Time until which it is cold by its last report, and the time of that report.
     entry_warm_in, is_entry_new : float, bool
-        Seconds for which it was cold when its entry was written, and whether that
-        has not been looked at yet.
+        Seconds for which it was cold when its entry was written, and whether that has
+        not been evaluated yet.
     last_send_at : float
-        When this node last sent there.
+        Time of this node's last send to it.
     limits : ServiceLimits or None
-        Of the service: what its endpoints in need still take.
+        Rate limits of the service's endpoints.
     cold_share : RandomAdmission
-        This node's part of what it bears while it is cold.
+        Admission of this node's sends while the endpoint is cold.
     """
 
     identity: str
@@ -161,11 +179,11 @@
 
     @property
     def in_flight(self):
-        """How many of this node's sends await their end."""
+        """Number of this node's sends in flight."""
         return len(self.sent)
 
     def begin(self, send, now):
-        """Note the start of a send."""
+        """Record the start of a send."""
         self.sent[send] = None
         self.last_send_at = now
         if self.limits is not None:
@@ -176,31 +194,31 @@
             self.health.trial_in_flight = True
 
     def record_warm_up(self, warm_in, now):
-        """Take its own word on how long it stays cold, in seconds."""
+        """Record the endpoint's report of how long it stays cold, in seconds."""
         self.warm_at = now + warm_in
         self.warm_up_reported_at = now
 
     def record_entry(self, warm_in):
-        """Take what its entry says of its warmth, in seconds from the entry's write."""
+        """Record the warm-up time in its entry, in seconds from the entry's write."""
         if warm_in != self.entry_warm_in:
             self.entry_warm_in = warm_in
             self.is_entry_new = True
 
     def finish(self, send):
-        """Note the end of a send."""
+        """Record the end of a send."""
         self.sent.pop(send, None)
 
     def record_result(self, result, seconds, expected, now):
-        """Take what the end of a send tells of load and state.
+        """Update slowness, load and availability from the result of a send.
 
         Parameters
         ----------
         result : SendResult
-            What became of the send.
+            Result of the send.
         seconds, expected : float
-            How long it took and how long its route typically takes.
+            Duration of the send, and the median duration on its route.
         now : float
-            The time.
+            Seconds of the node's clock.
         """
         if result.report is not None:
             self.report = result.report
@@ -217,11 +235,11 @@
             self.availability.record_backoff(REFUSED_BACKOFF_SECONDS, now)
 
     def has_capacity(self, ticket, now):
-        """Tell whether a request may be sent there now.
+        """Return whether a request may be sent to the endpoint now.
 
         Notes
         -----
-        A trial after an ejection is a repeatable request if it can be one. A
+        The trial request after an ejection is a repeatable one if possible. A
         deferrable request leaves the last slot to live ones.
         """
         if len(self.sent) >= self.send_limit or self.is_draining(now):
@@ -241,20 +259,20 @@
         return True
 
     def accepts_trial(self, ticket, now):
-        """Tell whether a request may try an endpoint that was ejected."""
+        """Return whether a request may be the trial request of an ejected endpoint."""
         if not self.health.is_trial_due(now):
             return False
         waited = now - self.health.ejected_until
         return ticket.route.repeatable or waited > REPEATABLE_TRIAL_SECONDS
 
     def estimate_peer_load(self, now):
-        """Return how many requests of other nodes occupy the endpoint.
+        """Return the estimated number of other nodes' requests at the endpoint.
 
         Notes
         -----
-        The node's own share is taken out of the report. What remains tends
-        with its age to the mean of all endpoints: an endpoint that was not
-        heard of for long is an average one, not an idle one.
+        The node's own requests are subtracted from the report. With its age the
+        remainder decays to the mean of all endpoints: an endpoint without recent
+        reports counts as average, not as idle.
         """
         mean = self.service_view.peer_load
         report = self.report
@@ -266,17 +284,17 @@
         )
 
     def predict_load(self, now):
-        """Return how many times longer than unloaded an answer should take."""
+        """Return the expected ratio of an answer's latency to the unloaded one."""
         occupied = len(self.sent) + self.estimate_peer_load(now)
         return 1 + max(0.0, occupied + 1 - self.slots) / self.slots
 
     def measure_slowness(self, now):
-        """Return the mean slowness, less with the age of the last answer.
+        """Return the mean slowness, reduced with the age of the last answer.
 
         Notes
         -----
-        An endpoint that nobody sends to because it was slow gives no answer that
-        could tell that it no longer is.
+        A slow endpoint that gets no requests gives no answers that could show its
+        recovery.
         """
         if self.last_response_at is None:
             return 1.0
@@ -284,25 +302,25 @@
         return 1 + (self.slowness - 1) * exp(-age / SLOWNESS_DECAY_SECONDS)
 
     def measure_overdue_ratio(self, now):
-        """Return how many times longer than typical the oldest send has taken."""
+        """Return the ratio of the oldest send's duration to the expected one."""
         if not self.sent:
             return 0.0
         oldest = next(iter(self.sent))
         return (now - oldest.started) / oldest.expected
 
     def record_suspicion(self, ratio, now):
-        """Add another node's word on an answer that takes long.
+        """Add another node's report of an overdue answer.
 
         Notes
         -----
-        One such answer says little, three at once say much; so they add up.
+        Reports add up: one overdue answer is weak evidence, three at once are strong.
         """
         previous = self.measure_suspicion(now)
         self.suspicion = min(MAX_SUSPICION, previous + SUSPICION_WEIGHT * (ratio - 1))
         self.suspected_at = now
 
     def measure_suspicion(self, now):
-        """Return what other nodes told of slowness, less with its age."""
+        """Return the slowness reported by other nodes, reduced with its age."""
         if not self.suspicion:
             return 0.0
         suspicion = self.suspicion * exp(
@@ -313,13 +331,13 @@
         return suspicion
 
     def estimate_wait(self, now):
-        """Return the expected time to an answer, in typical answers' times.
+        """Return the expected time to an answer, in median latencies.
 
         Notes
         -----
-        An answer that is overdue now counts at once, a finished one only
-        through the running mean. An endpoint that fails looks slower by its
-        share of faults, whatever load it reports.
+        An overdue answer counts immediately, a finished one only through the running
+        mean. A failing endpoint scores as slower by its share of faults, whatever load
+        it reports.
         """
         slowness = max(
             self.measure_slowness(now),
@@ -334,7 +352,7 @@
         return (wait + self.distance) / self.measure_warmth(now)
 
     def measure_warmth(self, now):
-        """Return the share of its full load that a started endpoint may take."""
+        """Return the share of its full load that an endpoint in slow start may get."""
         if self.cold_since is None:
             return 1.0
         age = now - self.cold_since
@@ -346,16 +364,16 @@
         )
 
     def serves_route(self, route):
-        """Tell whether a route's requests may be sent there at all."""
+        """Return whether the endpoint's region may serve a route."""
         return not route.homes or self.region in route.homes
 
     def is_within_limit(self, now):
-        """Tell whether the limit that it may have named leaves room for a request.
+        """Return whether the endpoint's rate limit allows another request.
 
         Notes
         -----
-        It is looked at for each send, also retries and hedges: an endpoint in need that
-        takes three requests a second from all nodes must not get nine.
+        The limit applies to each send, also to retries and hedges: an overloaded
+        endpoint that accepts three requests a second from all nodes must not get nine.
         """
         limits = self.limits
         if limits is None or not limits.limited:
@@ -363,9 +381,9 @@
         return limits.allows(self.identity, now)
 
     def is_limited(self):
-        """Tell whether it names a limit."""
+        """Return whether the endpoint reports a rate limit."""
         return self.limits is not None and self.identity in self.limits.limited
 
     def is_draining(self, now):
-        """Tell whether the endpoint takes no new work."""
+        """Return whether the endpoint is draining and accepts no new requests."""
         return now < self.draining_until or self.availability.is_leaving(now)
--- a/packages/hingesill-core/hingesill_core/routing/fleetview.py
+++ b/packages/hingesill-core/hingesill_core/routing/fleetview.py
@@ -1,4 +1,4 @@
-"""What the decisions of a service know of the node and its fleet."""
+"""The view of the node and its fleet that routing decisions use."""
 
 from msgspec import Struct
 
@@ -6,18 +6,18 @@
 
 
 class FleetView(Struct, frozen=True):
-    """What a dispatcher has to know of the node and its fleet.
+    """The node and the size of its fleet.
 
     Parameters
     ----------
     data_centre : str
-        The node's own.
+        Data centre of the node.
     nodes : int
-        Node processes that are alive, as far as this node knows.
+        Number of live node processes that this node knows.
     fleet_limit : int
-        The largest number of them at once, as the operator declared it.
+        Largest number of nodes at once, as the operator declared it.
     place : int or None
-        Of this node among them by their names, from 0; None if its entry is not there.
+        Index of this node in the sorted node names; None if it has no entry.
     """
 
     data_centre: str
--- a/packages/hingesill-core/hingesill_core/routing/health.py
+++ b/packages/hingesill-core/hingesill_core/routing/health.py
@@ -1,4 +1,4 @@
-"""Ejecting an endpoint that fails and letting it back in with a trial."""
+"""Ejection of failing endpoints, with one trial request before the return."""
 
 from msgspec import Struct
 
@@ -6,10 +6,14 @@
 
 __all__ = ["Health"]
 
+# Failures in a row after which an endpoint is ejected.
 FAILURES_TO_EJECT = 3
+# Duration of the first ejection, in seconds; each further one is twice as long.
 FIRST_EJECTION_SECONDS = 0.5
+# Upper bound of an ejection, in seconds.
 MAX_EJECTION_SECONDS = 10.0
 MAX_EJECTED_SHARE = 0.5
+# Weight of the newest result in the share of faults.
 FAULT_WEIGHT = 0.1
 HANG_FACTOR = 20.0
 HANG_FLOOR = 0.25
@@ -20,20 +24,20 @@
 
 
 class Health(Struct):
-    """The record of one endpoint's failures at one node; times in seconds.
-
-    Notes
-    -----
-    ``fault_share`` is a running mean that makes a failing endpoint look slower
-    long before it is ejected: one that fails fast and reports no load would
-    otherwise draw all the traffic.
+    """The failure record of one endpoint at one node; times in seconds.
 
     Attributes
     ----------
     failures_to_eject : int
-        Failures in a row.
+        Failures in a row after which it is ejected.
     max_ejection : float
-        Longest ejection.
+        Upper bound of an ejection.
+
+    Notes
+    -----
+    ``fault_share`` is a running mean that makes a failing endpoint score as slower
+    long before it is ejected: one that fails fast and reports no load would
+    otherwise attract all the traffic.
     """
 
     consecutive: int = 0
@@ -45,21 +49,21 @@
     max_ejection: float = MAX_EJECTION_SECONDS
 
     def record(self, end, now, may_eject):
-        """Take the end of a send or a probe.
+        """Record the end of a send or a probe.
 
         Parameters
         ----------
         end : SendStatus
-            CANCELLED and REFUSED say nothing on health.
+            CANCELLED and REFUSED are no evidence of health.
         now : float
-            The time.
+            Seconds of the node's clock.
         may_eject : bool
-            False while too many others are ejected.
+            False while too many other endpoints are ejected.
 
         Returns
         -------
         bool
-            True if the endpoint came back from an ejection.
+            Whether the endpoint returned from an ejection.
         """
         if end in FAILED:
             self._record_failure(now, may_eject)
@@ -85,20 +89,20 @@
             self.eject(now)
 
     def eject(self, now):
-        """Keep the endpoint out, twice as long as the last time."""
+        """Eject the endpoint, for twice as long as the last time."""
         pause = min(self.max_ejection, FIRST_EJECTION_SECONDS * 2**self.ejections)
         self.ejections += 1
         self.ejected_until = now + pause
         self.consecutive = 0
 
     def is_ejected(self, now):
-        """Tell whether the endpoint is kept out."""
+        """Return whether the endpoint is ejected."""
         return now < self.ejected_until
 
     def is_trial_due(self, now):
-        """Tell whether its ejection has ended and a single trial is due."""
+        """Return whether the ejection has ended and its trial request is due."""
         return 0 < self.ejected_until <= now and not self.trial_in_flight
 
     def accepts_traffic(self):
-        """Tell whether ordinary traffic may go there."""
+        """Return whether the endpoint gets ordinary traffic."""
         return self.ejected_until == 0.0
--- a/packages/hingesill-core/hingesill_core/routing/hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/hedging.py
@@ -1,4 +1,4 @@
-"""Second sends of requests whose answer is overdue."""
+"""Hedges: second sends of requests whose answer is overdue."""
 
 from hingesill_core.reasons import RetryReason
 from hingesill_core.retries.budget import TokenBudget
@@ -7,16 +7,17 @@
 
 __all__ = ["Hedging"]
 
-# In typical answers' times: with all of the budget and with none of it left.
+# Hedge delay with a full budget, in median latencies.
 MIN_DELAY_FACTOR = 1.8
+# Hedge delay with an empty budget, in median latencies.
 MAX_DELAY_FACTOR = 4.5
-# With asked endpoints, in typical answers' times: what a hedge itself takes, with
-# its questions, and what an answer may take before it counts as overdue.
+# Duration of a hedge with its load queries, in median latencies.
 HEDGE_DURATION_FACTOR = 1.25
+# Smallest hedge delay with load queries, in median latencies.
 MIN_QUERIED_DELAY_FACTOR = 1.4
-# Tokens that a hedge leaves for retries where a node may save up more than one. Where
-# it may not, hedges go first: a refused caller can return at once, one that waits for
-# a silent endpoint cannot.
+# Tokens that a hedge leaves for retries where a node may save more than one. Elsewhere
+# hedges go first: a refused caller can retry immediately, a caller that waits for an
+# unresponsive endpoint cannot.
 RESERVED_RETRY_TOKENS = 1.0
 # Interval of attempts to hedge after one found no token or endpoint, in seconds.
 ATTEMPT_INTERVAL_SECONDS = 0.25
@@ -28,9 +29,9 @@
     Parameters
     ----------
     dispatcher : Dispatcher
-        The service's.
+        Dispatcher of the service.
     share : float
-        Hedges that a request earns, where endpoints are not asked.
+        Hedges earned by each request, where no load queries are used.
     """
 
     def __init__(self, dispatcher, share):
@@ -38,14 +39,14 @@
         self.budget = TokenBudget(share)
 
     def get_hedge_delay(self, send):
-        """Return the seconds after which an answer is worth a second send.
+        """Return the seconds after which a request without an answer is hedged.
 
         Notes
         -----
-        While much of the budget is left that is soon. As it runs out only the
-        answers that take longest are worth it, so that the budget goes where it
-        shortens the tail. Where endpoints are asked, it goes to answers that are
-        about to miss their target, as late as a second send still helps.
+        The delay is short while much of the budget is left. As it runs out only the
+        slowest answers are hedged, so that the budget shortens the tail. With load
+        queries the budget goes to answers that are about to miss their target, as late
+        as a second send can still meet it.
         """
         median = self.dispatcher.get_latency(send.ticket.route).median
         if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
@@ -61,15 +62,15 @@
         Parameters
         ----------
         ticket : Ticket
-            The request; one send of it is under way.
+            The request; one send of it is in flight.
         now : float
             Seconds of the node's clock.
 
         Returns
         -------
-        Ask, Send or Denied
-            Whom to ask first, where to send it, or the rule that forbids it. An
-            Ask after which nothing is sent is told to `end`.
+        LoadQuery, Send or RetryDenied
+            The endpoints to query first, the endpoint to send to, or the reason against
+            it. A LoadQuery without a send afterwards requires a call of `cancel`.
         """
         denial = self._find_denial(ticket, now)
         if denial is not None:
@@ -79,7 +80,7 @@
         return self._send(ticket, now)
 
     def get_next_attempt_time(self, ticket, now):
-        """Return when a second send that did not come about is worth another try.
+        """Return when to attempt a hedge again after an attempt without a send.
 
         Parameters
         ----------
@@ -91,7 +92,8 @@
         Returns
         -------
         float
-            Seconds of the node's clock; infinite if no rule will allow it any more.
+            Seconds of the node's clock; infinite if the rules forbid any further
+            attempt.
         """
         is_over = self._find_denial(ticket, now) is not None
         return float("inf") if is_over else now + ATTEMPT_INTERVAL_SECONDS
@@ -107,7 +109,7 @@
         return RetryReason.DENIED_TIME if now + p10 > ticket.deadline else None
 
     def _send(self, ticket, now):
-        """Return a Send by what is known already, or Denied."""
+        """Return a Send chosen by known state, or RetryDenied."""
         free = [
             state
             for state in self.dispatcher.states.values()
@@ -121,12 +123,12 @@
         return self.dispatcher.start_send(ticket, state, now, hedge=True)
 
     def _query(self, ticket, now):
-        """Return an Ask for a second endpoint, or Denied.
+        """Return a LoadQuery for a second endpoint, or RetryDenied.
 
         Notes
         -----
-        A retry saves an answer that is lost, a hedge one that is late; so both
-        draw on the budget of retries, and hedges leave a token for those.
+        Hedges draw on the budget of retries, as a retry replaces a lost answer and a
+        hedge a late one; they leave a token for retries.
         """
         retries = self.dispatcher.retries
         reserved = min(RESERVED_RETRY_TOKENS, max(0.0, retries.burst - 1.0))
@@ -139,13 +141,13 @@
         return query
 
     def cancel(self, ticket):
-        """Take back a hedge that asked and was not sent."""
+        """Cancel a hedge that was not sent after its load query; refund its token."""
         self.dispatcher.binding.remove(ticket)
         self.dispatcher.retries.refund()
 
 
 def compute_latest_delay(send, median):
-    """Return the seconds after which a second send can just meet the target."""
+    """Return the latest hedge delay in seconds that can still meet the target."""
     ticket = send.ticket
     waited = send.started - ticket.arrived
     left = ticket.route.target - ticket.elapsed - waited
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -1,4 +1,4 @@
-"""The requests of one service that wait for an endpoint with a free slot."""
+"""Late binding: requests of one service that wait for an endpoint with a free slot."""
 
 from msgspec.structs import replace
 
@@ -21,22 +21,23 @@
 
 __all__ = ["LateBinding"]
 
+# Waiting requests for each additional endpoint queried in a round.
 REQUESTS_PER_QUERY = 2
 
 
 class LateBinding:
-    """Decides whom to ask and which waiting request a reply is good for.
+    """Chooses the endpoints to query and the waiting request for each reply.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        The service's; its endpoints' states are read and written.
+        Dispatcher of the service; its endpoint states are read and written.
     pool : QueryBudget
-        Shared by the services of this node whose budgets are pooled.
+        Query budget shared by the services of this node whose budgets are pooled.
     curves : LatencyCurves or None
-        Of all services of this node.
+        Latency curves of all services of this node.
     rules : QueryRules
-        How to ask.
+        Parameters of the load queries.
     """
 
     def __init__(self, dispatcher, pool, curves=None, rules=None):
@@ -56,7 +57,7 @@
         self._late_queried_at = float("-inf")
 
     def configure(self, service, fleet):
-        """Put a declaration and a view of the fleet in force."""
+        """Apply a declaration and a view of the fleet."""
         if service.probes.pooled:
             self.budget = self.pool
         self.budget.set_part(service.name, service.probes, fleet.nodes)
@@ -64,13 +65,13 @@
         self.warm_up.configure(service, fleet)
 
     def add_request(self, ticket, now):
-        """Let a request wait.
+        """Add a request to those that wait for an endpoint.
 
         Returns
         -------
-        Ask, Refusal or None
-            Whom to ask for it; None if this service's endpoints tell no load or
-            nothing may be asked.
+        LoadQuery, Refusal or None
+            The endpoints to query for it; None if this service's endpoints report no
+            load or there is no query budget.
         """
         if not self.has_reports or self.budget.rate <= 0:
             return None
@@ -105,7 +106,7 @@
         )
 
     def add_hedge(self, ticket, now):
-        """Let a request that is under way wait for a second endpoint.
+        """Add a request with a send in flight to those that wait for an endpoint.
 
         Parameters
         ----------
@@ -116,9 +117,9 @@
 
         Returns
         -------
-        Ask or None
-            Whom to ask; None while requests wait that have no endpoint at all,
-            or if nothing may be asked.
+        LoadQuery or None
+            The endpoints to query; None while requests without any endpoint wait, or if
+            the budget allows no query.
         """
         if not self.has_reports or self.waiting:
             return None
@@ -132,19 +133,19 @@
         return LoadQuery(endpoints)
 
     def estimate_wait(self, now):
-        """Return the seconds that a request which came now would wait."""
+        """Return the estimated seconds that a new request would wait."""
         return self.dequeue_interval.estimate(self._count_waiting(), now)
 
     def _count_waiting(self):
-        """Return how many requests wait that have no endpoint at all."""
+        """Return the number of waiting requests without any endpoint."""
         return sum(not waiting.hedge for waiting in self.waiting.values())
 
     def remove(self, ticket):
-        """Forget a request that no longer waits."""
+        """Remove a request that no longer waits."""
         self.waiting.pop(ticket, None)
 
     def next_query(self, now):
-        """Return the next Ask for all waiting requests together, or None."""
+        """Return the next LoadQuery for all waiting requests together, or None."""
         if not self.waiting:
             return None
         if self.limits.limited:
@@ -154,12 +155,12 @@
         return LoadQuery(endpoints) if endpoints else None
 
     def _count_wanted(self, now):
-        """Return how many endpoints are worth asking in this round.
+        """Return the number of endpoints to query in this round.
 
         Notes
         -----
-        Late requests take what is left over: for them alone the node asks seldom, so
-        that questions remain for requests that can still be in time.
+        Late requests use only leftover capacity: for them alone the node queries
+        rarely, which leaves the budget to requests that can still meet their target.
         """
         stages = [item.get_stage(now, self.rules) for item in self.waiting.values()]
         timely = sum(stage is not Stage.LATE for stage in stages)
@@ -172,7 +173,7 @@
         return 1
 
     def _choose_endpoints(self, wanted, now, routes, is_first=False):
-        """Return the identities of endpoints to ask, as the budget allows."""
+        """Return the identities of endpoints to query, as the budget allows."""
         candidates = self.selection.list_candidates(now, routes)
         count = self.budget.take(min(wanted, len(candidates)), now)
         self.warm_up.record_queries(count, now)
@@ -184,12 +185,12 @@
         return tuple(state.identity for state in chosen)
 
     def may_query(self, identity, born, now):
-        """Tell whether a question to an endpoint's life may still be written."""
+        """Return whether a load query to an incarnation may still be sent."""
         state = self.dispatcher.states.get(identity)
         return state is not None and state.born == born and takes_work(state, now)
 
     def handle_reply(self, reply, now):
-        """Take a reply; return the Send that it is good for, or None."""
+        """Record a reply; return the Send of the request that it serves, or None."""
         state = self.record_reply(reply, now)
         if state is None or reply.report is None or not can_get_work(state, now):
             return None
@@ -215,11 +216,11 @@
         return send
 
     def _fits(self, waiting, state, now, is_cold):
-        """Tell whether a request may go to an endpoint that just replied.
+        """Return whether a waiting request may go to the endpoint of a reply.
 
         Notes
         -----
-        A cold endpoint works slower: it is for requests that found no other.
+        A cold endpoint is slower, so it only serves requests that found no other.
         """
         ticket = waiting.ticket
         if not state.serves_route(ticket.route):
@@ -236,13 +237,13 @@
         return is_good_enough(state.report, stage, usable, max_slowness)
 
     def record_reply(self, reply, now):
-        """Learn from a reply; return the endpoint's state, or None if it is gone.
+        """Record a reply; return the endpoint's state, or None if it was removed.
 
         Notes
         -----
-        How slow endpoints are counts against the lower quarter of replies: if
-        nearly all are slow, requests must not wait for one that is not. A median
-        would not do, as those that are slow stay free and are asked most.
+        The slowness of endpoints is compared to the lower quartile of replies: where
+        nearly all are slow, requests must not wait for one that is not. A median would
+        not do, as slow endpoints stay free and are queried most.
         """
         state = self.dispatcher.states.get(reply.endpoint)
         born = reply.born
@@ -272,14 +273,14 @@
         return state
 
     def record_answer(self, send, seconds, now):
-        """Learn from an answer how much taken slots slow work down."""
+        """Record how the occupied slots affected the latency of an answer."""
         state = self.dispatcher.find_state(send)
         if send.occupied and state is not None:
             route = send.ticket.route
             self.slots.record_answer(route, seconds, send.occupied, state.slots, now)
 
     def expire(self, now):
-        """Yield (ticket, decision) for each request that waits no longer."""
+        """Yield (ticket, decision) for each request that stops waiting."""
         if self.limits.limited:
             for ticket in self.limited.list_surplus(now):
                 self.waiting.pop(ticket)
@@ -297,7 +298,7 @@
                 yield ticket, refusal
 
     def _find_final_refusal(self, waiting, now):
-        """Return the Refusal of a request that waits in vain, or None."""
+        """Return the Refusal of a request whose wait has ended, or None."""
         ticket = waiting.ticket
         if now >= waiting.until:
             reason = RefusalReason.DEADLINE_UNREACHABLE
@@ -305,11 +306,11 @@
         return self._find_availability_refusal(ticket, now)
 
     def _find_availability_refusal(self, ticket, now):
-        """Return the Refusal of a request that no endpoint takes soon, or None."""
+        """Return the Refusal of a request that no endpoint accepts soon, or None."""
         tried = ticket.tried if len(self.dispatcher.states) > 1 else ()
         return self.dispatcher.service_availability.find_refusal(ticket, now, tried)
 
 
 def complete_report(report, state):
-    """Return a report with the slots that were declared, if it tells none."""
+    """Return a report with the declared slots, if it contains none."""
     return report if report.slots else replace(report, slots=state.slots)
--- a/packages/hingesill-core/hingesill_core/routing/limitedrequests.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedrequests.py
@@ -1,4 +1,4 @@
-"""Requests that only endpoints in need could serve."""
+"""Requests that only rate-limited endpoints could serve."""
 
 from hingesill_core.routing.selection import can_get_work
 
@@ -6,19 +6,19 @@
 
 
 class LimitedRequests:
-    """Which requests of a service need a grant, and which will get none.
+    """Decides which requests of a service need a grant and which will get none.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        The service's.
+        Dispatcher of the service.
     """
 
     def __init__(self, dispatcher):
         self._dispatcher = dispatcher
 
     def needs_grant(self, route, now):
-        """Tell whether all endpoints that may serve a route are in need."""
+        """Return whether all endpoints that may serve a route are rate-limited."""
         limits = self._dispatcher.limits
         return not any(
             state.serves_route(route) and can_get_work(state, now)
@@ -27,7 +27,7 @@
         )
 
     def is_surplus(self, ticket, now):
-        """Count a new request; tell whether it is to be refused at once."""
+        """Record a new request; return whether to refuse it immediately."""
         if not self.needs_grant(ticket.route, now):
             return False
         dispatcher = self._dispatcher
@@ -38,7 +38,7 @@
         return ticket in self.list_surplus([(t, t.deadline) for t in tickets], now)
 
     def list_surplus(self, waiting, now):
-        """Return the waiting tickets that only endpoints in need could serve, too late.
+        """Return the waiting tickets that would get a grant only after their time.
 
         Parameters
         ----------
--- a/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for replies while endpoints of their service are in need."""
+"""Requests that wait for load replies while endpoints are rate-limited."""
 
 __all__ = ["LimitedWaiting"]
 
@@ -9,14 +9,14 @@
 
 
 class LimitedWaiting:
-    """Has grants asked for, and tells which requests will get none in time.
+    """Requests grants, and lists the waiting requests that will get none in time.
 
     Parameters
     ----------
     binding : LateBinding
-        Its waiting requests are read; hedges are no reason to ask.
+        Its waiting requests are read; hedges need no grants here.
     requests : LimitedRequests
-        Of the service.
+        Requests of the service that need grants.
     """
 
     def __init__(self, binding, requests):
@@ -25,12 +25,12 @@
         self._grant_client = binding.limits.grant_client
 
     def admit(self, ticket, now):
-        """Take note of a request that begins to wait; tell whether it may.
+        """Record a request that begins to wait; return whether it may wait.
 
         Notes
         -----
-        It may if grants are there or may come. Where a less urgent one is to go in its
-        place, that is refused with the next round.
+        It may wait if grants are available or can arrive in time. If it supersedes a
+        less urgent request, that one is refused in the next round.
         """
         self._grant_client.request_trial_grant(now)
         if not self._requests.needs_grant(ticket.route, now):
@@ -40,7 +40,7 @@
         return ticket not in self.list_surplus(now)
 
     def want_grants(self, now):
-        """Have grants asked for, for requests that endpoints without a need leave."""
+        """Request grants for requests that endpoints without a limit do not serve."""
         waiting = self._list_waiting()
         routes = {item.ticket.route for item in waiting}
         blocked_routes = {r for r in routes if self._requests.needs_grant(r, now)}
@@ -57,8 +57,8 @@
 
         Notes
         -----
-        What the endpoints take is given to requests that can still meet their targets;
-        those that can't are served by what is there now, or refused at once.
+        The capacity of limited endpoints goes to requests that can still meet their
+        targets; late ones use current grants only, or are refused immediately.
         """
         waiting = self._list_waiting()
         waiting.sort(key=lambda item: item.get_order(now))
--- a/packages/hingesill-core/hingesill_core/routing/load_report.py
+++ b/packages/hingesill-core/hingesill_core/routing/load_report.py
@@ -1,4 +1,4 @@
-"""An endpoint's own word on its load, as it comes with an answer."""
+"""An endpoint's report of its load, as it comes with a response."""
 
 from msgspec import Struct
 
@@ -6,21 +6,21 @@
 
 
 class LoadReport(Struct, frozen=True):
-    """One report.
+    """One load report.
 
     Parameters
     ----------
     running : int
         Requests that occupy a slot or wait for one.
     received_at : float
-        When it reached this node, in seconds of the node's clock.
+        Time at which it reached this node, in seconds of the node's clock.
     own_in_flight : int
-        How many of this node's requests were in flight there, without the one
-        that brought the report.
+        Number of this node's requests in flight there, without the one that brought
+        the report.
     slots : int
-        Requests that the endpoint works on at a time; 0 if it did not say.
+        Requests that the endpoint processes concurrently; 0 if not reported.
     slowness : float
-        How many times longer than usual work takes there now.
+        Ratio of the current to the usual duration of its work.
     """
 
     running: int
--- a/packages/hingesill-core/hingesill_core/routing/loadqueries.py
+++ b/packages/hingesill-core/hingesill_core/routing/loadqueries.py
@@ -1,9 +1,9 @@
-"""Choosing by fresh evidence: which endpoint's reply will do for which request.
+"""Load queries: choosing an endpoint by its current load just before a send.
 
-An endpoint's load shifts in milliseconds, so a report that came with an earlier
-answer says little. Here a request waits at the node until an endpoint that was
-just asked has a free slot: a place in an endpoint's own queue could not be given
-up again for a better one.
+An endpoint's load changes within milliseconds, so the report in an earlier answer is
+soon out of date. Here a request waits at the node until an endpoint that was just
+queried has a free slot: a request in an endpoint's own queue could not be moved to
+another endpoint.
 """
 
 from enum import IntEnum
@@ -24,46 +24,46 @@
     "is_good_enough",
 ]
 
-# The policy of a declaration whose endpoints are asked before each send.
+# Routing policy of services whose endpoints are queried before each send.
 FRESH_REPORT_POLICY = "fresh_report"
 
 
 class QueryRules(Struct, frozen=True):
-    """How a service's requests ask; times in seconds.
+    """Parameters of a service's load queries; times in seconds.
 
     Attributes
     ----------
     first_fan_out : int
-        Endpoints asked for a new request, all but one in its data centre, or all
-        of them where there are many.
+        Endpoints queried for a new request: all but one in the node's data centre, or
+        all of them where `min_local` are there.
     max_fan_out : int
-        Endpoints asked in a later round, for all waiting requests together.
+        Endpoints queried in a later round, for all waiting requests together.
     min_local : int
-        With so many endpoints in its data centre, a new request asks there only;
-        where there are two or three, it keeps asking elsewhere.
+        Number of endpoints in the node's data centre from which a new request queries
+        only those; with two or three, it also queries endpoints elsewhere.
     selective_seconds : float
-        For so long, two replies, a request takes only an endpoint with two free
-        slots, as the last one is often gone when the request arrives.
+        Time of about two replies in which a request accepts only an endpoint with two
+        free slots, as a single one is often taken when the request arrives.
     patient_share : float
-        Share of a route's target in which only a free slot of an endpoint that
-        is not slow will do.
+        Share of a route's target in which a request accepts only a free slot of an
+        endpoint that is not slow.
     hedge_wait_seconds : float
-        For so long a hedge looks for an endpoint: some rounds of questions. What
-        is not found by then is a sign of load.
+        Time in which a hedge looks for an endpoint, a few query rounds. If it finds
+        none, the service is under load.
     max_wait_share : float
-        Share of a request's time after which it is refused, so that its caller
-        still has more than half of it to try again.
+        Share of a request's time after which it is refused, so that its caller has more
+        than half of it left for another attempt.
     late_query_interval : float
-        Between two questions while all requests that wait are late: some three
-        rounds, so that late ones leave questions to those that can be in time.
+        Interval of load queries while all waiting requests are late, about three
+        rounds, which leaves the query budget to requests that can meet their target.
     default_target : float
-        Taken for a route without a declared target.
+        Target of a route that declares none.
     max_slowness : float
-        An endpoint that works slower than usual by this factor is passed by: slow
-        spells on shared VMs are a factor of five, ordinary spread stays below two.
+        Ratio to the usual slowness from which an endpoint is skipped: slow periods of
+        shared VMs have a factor of five, ordinary variation stays below two.
     slow_report_seconds : float
-        For so long after it said that it is slow, an idle connection to an endpoint
-        is no reason to ask it: several spells of slow VMs.
+        Time after a report of slowness in which an idle connection does not make an
+        endpoint preferred; it covers several slow periods of a VM.
     """
 
     first_fan_out: int = 2
@@ -80,13 +80,13 @@
 
 
 class Stage(IntEnum):
-    """Which endpoints a waiting request takes.
+    """Which endpoints a waiting request accepts.
 
     Notes
     -----
-    A late request takes only what is left over by those that can still be in
-    time, at this node and at others: under overload each slot that it took
-    would make another request late, and the endpoints would never recover.
+    A late request uses only capacity that requests which can meet their target leave,
+    at this node and at others: under overload each slot that it took would make another
+    request late, and the endpoints would never recover.
     """
 
     SELECTIVE = 0
@@ -95,42 +95,42 @@
 
 
 class LoadQuery(Struct, frozen=True):
-    """Ask these endpoints for their load; the request waits meanwhile.
+    """Query these endpoints for their load; the request waits for the replies.
 
     Parameters
     ----------
     endpoints : tuple of str
-        Identities; none if the budget allows no question now.
+        Identities; empty if the budget allows no query now.
     """
 
     endpoints: tuple[str, ...]
 
 
 class LoadReply(Struct, frozen=True):
-    """What asking an endpoint brought.
+    """The result of one load query.
 
     Parameters
     ----------
     endpoint : str
-        Its identity.
+        Identity of the endpoint.
     end : SendStatus
         ANSWERED, or why there is no report.
     report : LoadReport or None
-        Its load, if it told it.
+        Its load, if it reported one.
     warm_in : float or None
-        Seconds for which it is cold, 0 if it is warm; None if it did not tell.
+        Seconds for which it stays cold, 0 if it is warm; None if not reported.
     is_unhealthy : bool or None
-        It says that it is not well, or leaving; None if it did not tell.
+        It reports itself as unhealthy or leaving; None if not reported.
     born : int or None
-        The life of the endpoint that was asked; None if that is not known.
+        Incarnation that was queried; None if that is not known.
     limit : ParsedLimit or None
-        What the reply named; None if it did not come.
+        Rate limit in the reply; None without a reply.
     sent_at : float or None
-        When the question was sent; None if the reply is to no question.
-    rest : RequestedBackoff
-        For which the endpoint wants nothing more from this node.
+        Time of the query; None if the reply belongs to no query.
+    backoff : RequestedBackoff
+        Back-off that the endpoint requests from this node.
     leaving : bool
-        The endpoint said that it is leaving.
+        The endpoint reports that it is leaving.
     """
 
     endpoint: str
@@ -146,18 +146,18 @@
 
 
 def is_good_enough(report, stage, usable, max_slowness):
-    """Tell whether an endpoint will do for a request.
+    """Return whether an endpoint is acceptable for a request.
 
     Parameters
     ----------
     report : LoadReport
-        Just received.
+        The endpoint's current report.
     stage : Stage
-        Of the request.
+        Stage of the request.
     usable : int
-        Slots of the endpoint that are worth taking.
+        Concurrency limit of the endpoint.
     max_slowness : float
-        An endpoint that works slower is passed by.
+        Slowness from which an endpoint is skipped.
     """
     slots = report.slots or 1
     usable = min(usable, slots)
--- a/packages/hingesill-core/hingesill_core/routing/messages.py
+++ b/packages/hingesill-core/hingesill_core/routing/messages.py
@@ -1,4 +1,4 @@
-"""What goes into a dispatcher and what comes out of it."""
+"""Inputs and decisions of a dispatcher."""
 
 from enum import Enum
 
@@ -27,19 +27,19 @@
     Parameters
     ----------
     route : Route
-        What the operator declared for it.
+        Its declared route.
     arrived : float
-        Seconds of the node's clock.
+        Time of arrival, in seconds of the node's clock.
     deadline : float
-        When its answer is of no use any more, on the same clock.
+        Time after which its answer is of no use, on the same clock.
     may_retry : bool
-        False if a layer nearer to the caller sends again.
+        False if a layer nearer to the caller retries.
     replayable : bool
         False once its body cannot be sent a second time.
-    spent : float
-        Seconds that its caller seems to have spent on earlier tries.
-    barred : bool
-        Endpoints ended under it, so that this try goes to no other.
+    elapsed : float
+        Estimated seconds that its caller has used for earlier attempts.
+    retry_forbidden : bool
+        Endpoints crashed while they had it, so that it is sent to no other.
     """
 
     route: Route
@@ -63,20 +63,19 @@
     ticket : Ticket
         The request.
     endpoint : str
-        The endpoint's address.
+        Identity of the endpoint.
     started : float
-        When it was decided, in seconds of the node's clock.
+        Time of the decision, in seconds of the node's clock.
     expected : float
-        Seconds that an answer of this route typically takes under that load.
+        Expected seconds to an answer: the route's median under that load.
     load : float
-        How many times longer than unloaded it should take.
+        Expected ratio of the latency to the unloaded one.
     hedge : bool
-        Another send of the request is still under way.
+        Another send of the request is in flight.
     occupied : int
-        Requests at the endpoint with this one, by its own fresh word; 0 if
-        that was not asked for.
+        Requests at the endpoint including this one, by its load reply; 0 without one.
     born : int
-        The life of the endpoint that it is for.
+        Incarnation of the endpoint.
     """
 
     ticket: Ticket
@@ -90,20 +89,20 @@
 
 
 class Queued(Struct, frozen=True):
-    """Hold the request: a later ``pump`` or ``expire`` names it."""
+    """The request is queued until ``dispatch_queued`` or ``expire`` yields it."""
 
 
 class Refusal(Struct, frozen=True):
-    """The final answer of a request that gets none from an endpoint.
+    """The final response to a request without an answer of an endpoint.
 
     Parameters
     ----------
     reason : RefusalReason
-        Why.
+        Reason of the refusal.
     outcome : Outcome
         NOT_RUN only if it is certain that no endpoint ran it.
     retry_after : float or None
-        Seconds after which to come back; None if that would not help.
+        Seconds after which to retry; None if a retry would not help.
     """
 
     reason: RefusalReason
@@ -112,7 +111,7 @@
 
 
 class RetryDenied(Struct, frozen=True):
-    """A request is not sent again, with the reason."""
+    """The request is not sent again, for this reason."""
 
     reason: RetryReason
 
@@ -122,7 +121,7 @@
 
     Notes
     -----
-    ``NOT_SENT``: the endpoint stopped taking requests before this one was written.
+    ``NOT_SENT``: the endpoint stopped accepting requests before this one was written.
     """
 
     ANSWERED = "answered"
@@ -136,22 +135,22 @@
 
 
 class SendResult(Struct, frozen=True):
-    """What became of a send.
+    """The result of a send.
 
     Parameters
     ----------
     end : SendStatus
         How it ended.
     report : LoadReport or None
-        The endpoint's word on its load, if one came.
+        The endpoint's load report, if there was one.
     leaving : bool
-        The endpoint said that it is leaving.
+        The endpoint reported that it is leaving.
     cold : bool
-        The endpoint said that it has just started.
-    rest : RequestedBackoff
-        For which the endpoint wants nothing more from this node.
+        The endpoint reported a cold start.
+    backoff : RequestedBackoff
+        Back-off that the endpoint requests from this node.
     limit : ParsedLimit or None
-        What the answer named; None if no head of this endpoint's came.
+        Rate limit in the response; None without response headers of this endpoint.
     """
 
     end: SendStatus
--- a/packages/hingesill-core/hingesill_core/routing/serviceavailability.py
+++ b/packages/hingesill-core/hingesill_core/routing/serviceavailability.py
@@ -1,4 +1,4 @@
-"""Which endpoints of a service take requests, and when one does again."""
+"""Which endpoints of a service accept requests, and when the next one will."""
 
 from math import inf, isfinite
 
@@ -7,39 +7,39 @@
 
 __all__ = ["ServiceAvailability"]
 
-# Longest wait for the end of a rest, in seconds.
+# Longest wait for the end of a back-off, in seconds.
 MAX_BACKOFF_WAIT_SECONDS = 0.02
-# Spread of Retry-After behind the end of a rest, in seconds.
+# Random spread added to a Retry-After at the end of a back-off, in seconds.
 RETRY_AFTER_SPREAD_SECONDS = 0.5
 
 
 class ServiceAvailability:
-    """What the endpoints of a service say on further requests of this node.
+    """Back-off and draining of the endpoints of a service.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        The service's; its endpoints' states are read and written.
+        Dispatcher of the service; its endpoint states are read and written.
     """
 
     def __init__(self, dispatcher):
         self._dispatcher = dispatcher
 
     def record(self, identity, born, backoff, leaving, now):
-        """Take what an answer says on further requests, when its head is read.
+        """Record back-off and draining from response headers.
 
         Parameters
         ----------
         identity : str
-            The endpoint's.
+            The endpoint's identity.
         born : int
-            The life that answered.
-        rest : RequestedBackoff
-            That it asks for.
+            Incarnation that responded.
+        backoff : RequestedBackoff
+            Back-off that it requests.
         leaving : bool
-            It says that it is leaving.
+            It reports that it is leaving.
         now : float
-            The time.
+            Seconds of the node's clock.
         """
         name = self._dispatcher.service.name
         availabilities = self._dispatcher.availabilities
@@ -48,12 +48,12 @@
             availabilities.record_leaving(name, identity, born, now)
 
     def may_write(self, send, now):
-        """Tell whether a send may still be written, once its connection is there.
+        """Return whether a send may still be written once its connection is open.
 
         Parameters
         ----------
         send : Send
-            As it was given out.
+            The send.
         now : float
             Seconds of the node's clock.
         """
@@ -61,28 +61,28 @@
         return state is not None and takes_work(state, now)
 
     def count_backing_off(self, now):
-        """Return how many of the endpoints asked for a rest that lasts."""
+        """Return the number of endpoints whose back-off lasts."""
         if not self._dispatcher.availabilities.has_retained:
             return 0
         states = self._dispatcher.states.values()
         return sum(state.availability.is_backing_off(now) for state in states)
 
     def get_wait(self, route, now, tried=()):
-        """Return the seconds until an endpoint takes a route's requests.
+        """Return the seconds until an endpoint accepts a route's requests.
 
         Parameters
         ----------
         route : Route
-            Of the requests.
+            Route of the requests.
         now : float
             Seconds of the node's clock.
         tried : collection of str
-            Identities of endpoints that do not count.
+            Identities of endpoints that are left out.
 
         Returns
         -------
         float
-            0 if one does now, infinite if none ever will, as far as known.
+            0 if one accepts them now, infinite if none is known that ever will.
         """
         soonest = inf
         for state in self._dispatcher.states.values():
@@ -97,7 +97,7 @@
         return soonest
 
     def find_refusal(self, ticket, now, tried=()):
-        """Return the Refusal of a request that no endpoint takes soon, or None.
+        """Return the Refusal of a request that no endpoint accepts soon, or None.
 
         Parameters
         ----------
@@ -106,7 +106,7 @@
         now : float
             Seconds of the node's clock.
         tried : collection of str
-            Identities of endpoints that do not count.
+            Identities of endpoints that are left out.
         """
         wait = self.get_wait(ticket.route, now, tried)
         if wait <= MAX_BACKOFF_WAIT_SECONDS:
@@ -117,7 +117,7 @@
         return self._dispatcher.refuse(ticket, reason, now)
 
     def suggest_retry_after(self, route, now):
-        """Return the Retry-After in seconds if all endpoints rest, else None."""
+        """Return the Retry-After in seconds if all endpoints back off, else None."""
         wait = self.get_wait(route, now)
         if wait <= MAX_BACKOFF_WAIT_SECONDS or not isfinite(wait):
             return None
--- a/packages/hingesill-core/hingesill_core/routing/unhealthyreports.py
+++ b/packages/hingesill-core/hingesill_core/routing/unhealthyreports.py
@@ -1,18 +1,19 @@
-"""Whether endpoints that report themselves as unhealthy are passed by.
+"""Whether endpoints that report themselves as unhealthy are skipped.
 
-An endpoint that is down for a while may answer health checks with an error and no
-running requests, and break off all requests. As it looks free it would draw most of
-them. Some endpoints report so though they are healthy, and a service may have no other.
+An endpoint that fails for a while may answer health checks with an error and no running
+requests, and close the connections of all requests. As it looks idle it would attract
+most of them. Some endpoints report so though they are healthy, and a service may have
+no other.
 """
 
 from msgspec import Struct
 
 __all__ = ["UnhealthyReports"]
 
-# Weight of the newest reply in the mean; some twenty replies count.
+# Weight of the newest reply in the mean, which covers about twenty replies.
 REPLY_WEIGHT = 0.05
-# Share of unhealthy replies above which they are ignored: the other endpoints could not
-# do the work.
+# Share of unhealthy replies above which they are ignored, as the other endpoints could
+# not take the load.
 MAX_UNHEALTHY_SHARE = 0.5
 
 
@@ -22,7 +23,7 @@
     Attributes
     ----------
     share : float
-        Of the replies.
+        Share of the replies.
     """
 
     share: float = 0.0
@@ -32,5 +33,5 @@
         self.share += REPLY_WEIGHT * (is_unhealthy - self.share)
 
     def should_apply(self):
-        """Tell whether unhealthy endpoints are passed by."""
+        """Return whether unhealthy endpoints are skipped."""
         return self.share <= MAX_UNHEALTHY_SHARE
--- a/packages/hingesill-core/hingesill_core/routing/waiting.py
+++ b/packages/hingesill-core/hingesill_core/routing/waiting.py
@@ -1,4 +1,4 @@
-"""A request that waits for an endpoint, and its place among others."""
+"""A request that waits for an endpoint, and its order among others."""
 
 from msgspec import Struct
 
@@ -8,20 +8,20 @@
 
 
 class WaitingRequest(Struct, eq=False):
-    """A request that waits for a reply that will do; times of the node's clock.
+    """A request that waits for a suitable reply; times in seconds of the node's clock.
 
     Attributes
     ----------
     ticket : Ticket
         The request.
     since : float
-        When it began to wait.
+        Time at which the wait began.
     late_at : float
-        From then on its answer cannot be in time for its target.
+        Time from which its answer cannot meet its target.
     until : float
-        From then on it waits no longer.
+        Time at which the wait ends.
     hedge : bool
-        Another send of it is under way.
+        Another send of it is in flight.
     """
 
     ticket: object
@@ -31,7 +31,7 @@
     hedge: bool = False
 
     def get_stage(self, now, rules):
-        """Return how much the request puts up with."""
+        """Return the stage that decides which endpoints it accepts."""
         if self.hedge:
             return Stage.SELECTIVE
         if now >= self.late_at:
@@ -40,13 +40,13 @@
         return Stage.SELECTIVE if is_new else Stage.ACCEPTING
 
     def get_order(self, now):
-        """Return the key by which requests take what becomes free.
+        """Return the key by which waiting requests get free slots.
 
         Notes
         -----
-        The more urgent rank goes first, within it those that can still be in
-        time, and of these the one with the least time left. Hedges take what
-        nobody else waits for.
+        The more urgent rank goes first, within it requests that can still meet their
+        target, and of these the one with the least time left. Hedges get only slots
+        that no other request waits for.
         """
         is_late = now >= self.late_at
         return (self.hedge, self.ticket.route.rank, is_late, self.late_at)
