--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -90,7 +90,7 @@
         self.fleet = fleet
         self.choose = POLICIES.get(service.policy)
         self.queue.limit = service.queue_limit
-        bursts = service.sends.compute_bursts(fleet.nodes, fleet.place)
+        bursts = service.sends.compute_bursts(fleet.nodes, fleet.node_index)
         self.hedging.budget.set_share(service.sends.hedge_share, bursts.hedges)
         self.retries.set_share(service.sends.retry_share, bursts.retries)
         self.binding.configure(service, fleet)
@@ -136,20 +136,20 @@
             return False
         return not state.health.is_ejected(now)
 
-    def record_limit(self, send, named, now):
+    def record_limit(self, send, parsed, now):
         """Record the rate limit in the response headers of a send.
 
         Parameters
         ----------
         send : Send
             The send that was answered.
-        named : ParsedLimit or None
+        parsed : ParsedLimit or None
             None if another endpoint sent the response.
         now : float
             Seconds of the node's clock.
         """
-        if named is not None:
-            self.limits.note(send.endpoint, send.born, named, send.started, now)
+        if parsed is not None:
+            self.limits.note(send.endpoint, send.born, parsed, send.started, now)
 
     def get_latency(self, route):
         """Return the latency estimate of a route, created on first use."""
@@ -256,7 +256,9 @@
     def assign(self, ticket, now):
         """Send a ticket to an endpoint with a free in-flight slot, if there is one."""
         free = [
-            state for state in self.states.values() if self._is_free(state, ticket, now)
+            state
+            for state in self.states.values()
+            if self._is_available(state, ticket, now)
         ]
         if ticket.tried:
             fresh = [s for s in free if s.identity not in ticket.tried]
@@ -265,7 +267,7 @@
             return None
         return self.start_send(ticket, self.choose(free, now, self.rng), now)
 
-    def _is_free(self, state, ticket, now):
+    def _is_available(self, state, ticket, now):
         """Return whether an endpoint may get a request without a load query."""
         warm_up = self.binding.warm_up
         if not state.has_capacity(ticket, now):
--- a/packages/hingesill-core/hingesill_core/routing/fleetview.py
+++ b/packages/hingesill-core/hingesill_core/routing/fleetview.py
@@ -16,11 +16,11 @@
         Number of live node processes that this node knows.
     fleet_limit : int
         Largest number of nodes at once, as the operator declared it.
-    place : int or None
+    node_index : int or None
         Index of this node in the sorted node names; None if it has no entry.
     """
 
     data_centre: str
     nodes: int
     fleet_limit: int
-    place: int | None = 0
+    node_index: int | None = 0
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_availability.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_availability.py
@@ -1,4 +1,4 @@
-"""Tests of what endpoints say on further requests of this node."""
+"""Tests of back-off and leaving as endpoints report them."""
 
 import random
 import unittest
@@ -28,32 +28,32 @@
     def setUp(self):
         self.availability = Availability()
 
-    def test_a_rest_lasts_as_long_as_asked_for(self):
+    def test_backoff_lasts_as_long_as_requested(self):
         self.assertTrue(self.availability.takes_requests(10.0))
         self.assertTrue(self.availability.record_backoff(3.0, 10.0))
         self.assertFalse(self.availability.takes_requests(12.9))
         self.assertTrue(self.availability.takes_requests(13.0))
 
-    def test_the_longest_end_stands(self):
+    def test_latest_end_applies(self):
         self.availability.record_backoff(3.0, 10.0)
         self.assertFalse(self.availability.record_backoff(0.5, 10.5))
         self.assertFalse(self.availability.takes_requests(12.9))
         self.assertFalse(self.availability.record_backoff(3.0, 11.0))
         self.assertFalse(self.availability.takes_requests(13.9))
 
-    def test_an_absurd_length_is_bounded(self):
+    def test_length_is_bounded(self):
         self.availability.record_backoff(1e300, 0.0)
         self.assertTrue(self.availability.takes_requests(MAX_BACKOFF_SECONDS))
 
 
 class LeavingTests(unittest.TestCase):
-    def test_a_life_that_said_so_gets_nothing_any_more(self):
+    def test_leaving_incarnation_gets_no_requests(self):
         availability = Availability(has_instance_id=True)
         self.assertTrue(availability.record_leaving(10.0))
         self.assertFalse(availability.record_leaving(11.0))
         self.assertFalse(availability.takes_requests(1e9))
 
-    def test_an_address_that_names_no_life_is_tried_again(self):
+    def test_address_without_instance_id_is_used_again(self):
         availability = Availability()
         availability.record_leaving(10.0)
         availability.record_leaving(20.0)
@@ -63,43 +63,45 @@
         self.assertTrue(availability.takes_requests(50.0))
 
 
-class BookTests(unittest.TestCase):
+class RegistryTests(unittest.TestCase):
     def setUp(self):
-        self.begun = []
-        self.book = AvailabilityRegistry(self.begun.append)
-
-    def note(self, seconds, now, born=0):
-        self.book.record_backoff("arena", "i0", born, RequestedBackoff(seconds), now)
-
-    def test_a_life_that_comes_back_is_still_at_rest(self):
-        self.note(3.0, 10.0)
-        self.assertFalse(self.book.get("i0", 0).takes_requests(12.0))
-
-    def test_another_life_is_not(self):
-        self.note(3.0, 10.0, born=1)
-        self.assertTrue(self.book.get("i0", 2).takes_requests(10.0))
-
-    def test_a_life_that_comes_back_is_still_leaving(self):
-        self.book.has_instance_ids = True
-        self.book.record_leaving("arena", "i0", 1, 10.0)
-        self.note(3.0, 500.0)
-        self.assertFalse(self.book.get("i0", 1).takes_requests(600.0))
-        self.assertTrue(self.book.get("i0", 2).takes_requests(600.0))
-
-    def test_a_rest_is_told_once(self):
-        self.book.record_backoff("arena", "i0", 0, NO_BACKOFF, 9.0)
+        self.changes = []
+        self.registry = AvailabilityRegistry(self.changes.append)
+
+    def request_backoff(self, seconds, now, born=0):
+        self.registry.record_backoff(
+            "arena", "i0", born, RequestedBackoff(seconds), now
+        )
+
+    def test_returning_incarnation_is_still_backing_off(self):
+        self.request_backoff(3.0, 10.0)
+        self.assertFalse(self.registry.get("i0", 0).takes_requests(12.0))
+
+    def test_other_incarnation_is_not_backing_off(self):
+        self.request_backoff(3.0, 10.0, born=1)
+        self.assertTrue(self.registry.get("i0", 2).takes_requests(10.0))
+
+    def test_returning_incarnation_is_still_leaving(self):
+        self.registry.has_instance_ids = True
+        self.registry.record_leaving("arena", "i0", 1, 10.0)
+        self.request_backoff(3.0, 500.0)
+        self.assertFalse(self.registry.get("i0", 1).takes_requests(600.0))
+        self.assertTrue(self.registry.get("i0", 2).takes_requests(600.0))
+
+    def test_start_of_a_backoff_is_published_once(self):
+        self.registry.record_backoff("arena", "i0", 0, NO_BACKOFF, 9.0)
         for now in (10.0, 11.0, 14.5):
-            self.note(3.0, now)
-        self.assertEqual([backoff.endpoint for backoff in self.begun], ["i0", "i0"])
+            self.request_backoff(3.0, now)
+        self.assertEqual([change.endpoint for change in self.changes], ["i0", "i0"])
 
-    def test_what_is_over_is_forgotten(self):
-        self.note(3.0, 10.0)
-        self.book.record_backoff("arena", "i1", 0, RequestedBackoff(3.0), 30.0)
-        self.assertEqual(list(self.book._retained), [("i1", 0)])
+    def test_ended_backoff_is_dropped(self):
+        self.request_backoff(3.0, 10.0)
+        self.registry.record_backoff("arena", "i1", 0, RequestedBackoff(3.0), 30.0)
+        self.assertEqual(list(self.registry._retained), [("i1", 0)])
 
 
-class RestingEndpointTests(unittest.TestCase):
-    """One of two endpoints asked for a rest of 3 s."""
+class BackingOffEndpointTests(unittest.TestCase):
+    """One of two endpoints requested a back-off of 3 s."""
 
     def setUp(self):
         self.dispatcher = Dispatcher(build_service(2), FLEET, random.Random(1))
@@ -108,40 +110,40 @@
     def backoff(self, now=0.0, backoff=RequestedBackoff(3.0)):
         self.dispatcher.service_availability.record("i0", 0, backoff, False, now)
 
-    def settle(self, end):
+    def complete_send(self, end):
         ticket = Ticket(ROUTE, 0.0, 2.0)
         send = self.dispatcher.start_send(ticket, self.state, 0.0)
         result = SendResult(end, backoff=RequestedBackoff(3.0))
         self.dispatcher.complete_send(send, result, 0.0)
 
-    def test_it_is_asked_nothing(self):
+    def test_it_is_not_queried(self):
         self.backoff()
         for _ in range(10):
-            ask = self.dispatcher.submit(Ticket(ROUTE, 0.1, 2.0), 0.1)
-            self.assertNotIn("i0", ask.endpoints)
+            query = self.dispatcher.submit(Ticket(ROUTE, 0.1, 2.0), 0.1)
+            self.assertNotIn("i0", query.endpoints)
 
-    def test_its_reply_that_was_on_its_way_is_good_for_nobody(self):
+    def test_its_reply_in_flight_serves_no_request(self):
         self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.0)
         self.backoff()
         self.assertIsNone(self.dispatcher.binding.handle_reply(reply("i0", 0), 0.1))
 
-    def test_it_gets_no_request_unasked(self):
+    def test_it_gets_no_request_without_query(self):
         self.backoff()
         ticket = Ticket(ROUTE, 0.0, 9.0)
         self.assertFalse(self.state.has_capacity(ticket, 2.9))
         self.assertTrue(self.state.has_capacity(ticket, 3.0))
 
-    def test_it_is_used_again_after_its_rest(self):
+    def test_it_is_used_again_after_its_backoff(self):
         self.backoff()
         self.dispatcher.submit(Ticket(ROUTE, 3.0, 5.0), 3.0)
         self.assertIsNotNone(self.dispatcher.binding.handle_reply(reply("i0", 0), 3.01))
 
-    def test_a_rest_whose_length_cannot_be_read_lasts_a_second(self):
+    def test_backoff_with_invalid_length_lasts_a_second(self):
         self.backoff(backoff=INVALID_BACKOFF)
         self.assertFalse(self.state.availability.takes_requests(0.9))
         self.assertTrue(self.state.availability.takes_requests(1.0))
 
-    def test_a_configuration_in_between_changes_nothing(self):
+    def test_reconfiguration_keeps_the_backoff(self):
         self.backoff()
         self.dispatcher.configure(build_service(0), FLEET)
         self.dispatcher.configure(build_service(2), FLEET)
@@ -149,11 +151,11 @@
 
     def test_it_is_not_ejected(self):
         for _ in range(5):
-            self.settle(SendStatus.FAULT)
+            self.complete_send(SendStatus.FAULT)
         self.assertTrue(self.state.health.accepts_traffic())
         self.assertEqual(self.state.health.fault_share, 0.0)
 
-    def test_a_send_that_it_refused_has_not_run(self):
+    def test_refused_send_has_not_run(self):
         ticket = Ticket(ROUTE, 0.0, 2.0)
         send = self.dispatcher.start_send(ticket, self.state, 0.0)
         result = SendResult(SendStatus.REFUSED, backoff=RequestedBackoff(3.0))
@@ -162,7 +164,7 @@
         refusal, _ = self.dispatcher.retry(ticket, SendStatus.REFUSED, 0.0)
         self.assertIs(refusal.outcome, Outcome.NOT_RUN)
 
-    def test_neither_the_store_nor_another_node_takes_back_that_it_is_leaving(self):
+    def test_store_and_other_nodes_do_not_end_its_leaving(self):
         self.dispatcher.service_availability.record("i0", 0, NO_BACKOFF, True, 0.0)
         self.dispatcher.mark_draining("i0", 0.0)
         self.dispatcher.configure(build_service(0), FLEET)
@@ -171,12 +173,12 @@
         self.assertTrue(state.is_draining(100.0))
         self.assertFalse(state.has_capacity(Ticket(ROUTE, 100.0, 109.0), 100.0))
 
-    def test_an_answer_to_a_question_says_so_as_well(self):
+    def test_load_reply_reports_leaving(self):
         leaving = replace(reply("i0", 0), leaving=True, born=0)
         self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.0)
         self.assertIsNone(self.dispatcher.binding.handle_reply(leaving, 0.1))
         self.assertTrue(self.state.is_draining(100.0))
 
-    def test_a_reply_without_a_life_is_of_the_one_that_is_there(self):
+    def test_reply_without_incarnation_is_of_the_current_one(self):
         self.dispatcher.binding.handle_reply(replace(reply("i0", 0), leaving=True), 0.1)
         self.assertTrue(self.state.is_draining(100.0))
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of the dispatcher: what it promises, whatever comes in what order."""
+"""Tests of the dispatcher: admission, retries, choices and its invariants."""
 
 import random
 import unittest
@@ -26,7 +26,7 @@
 
 
 def build(endpoints=4, **fields):
-    """Return a service with a read, a move and an export."""
+    """Return a service with a repeatable, an unrepeatable and a deferrable route."""
     content = {
         "service": "arena",
         "endpoints": [
@@ -58,35 +58,35 @@
         self.read, self.move, self.export = self.service.routes
         self.dispatcher = Dispatcher(self.service, FLEET, random.Random(1))
 
-    def ask(self, route, now=0.0, limit=1.0, **fields):
+    def submit(self, route, now=0.0, limit=1.0, **fields):
         ticket = Ticket(route, now, now + limit, **fields)
         return ticket, self.dispatcher.submit(ticket, now)
 
     def fill(self, route, now=0.0):
-        """Submit until something is held; return the sends."""
+        """Submit requests until one is queued; return the sends."""
         sends = []
         while True:
-            _, decision = self.ask(route, now)
+            _, decision = self.submit(route, now)
             if not isinstance(decision, Send):
                 return sends
             sends.append(decision)
 
     def earn(self, count=20):
-        """Let the budgets of extra sends fill."""
+        """Fill the budgets of retries and hedges."""
         for _ in range(count):
-            _, send = self.ask(self.read)
+            _, send = self.submit(self.read)
             self.dispatcher.complete_send(send, SendResult(SendStatus.ANSWERED), 0.005)
 
 
 class AdmissionTests(DispatcherCase):
-    def test_held_request_goes_when_a_place_is_free(self):
+    def test_queued_request_is_sent_when_a_slot_is_free(self):
         sends = self.fill(self.read)
         self.dispatcher.complete_send(sends[0], SendResult(SendStatus.ANSWERED), 0.01)
         self.assertEqual(len(list(self.dispatcher.dispatch_queued(0.01))), 1)
 
     def test_unreachable_deadline_is_refused_at_once(self):
         self.fill(self.read)
-        _, decision = self.ask(self.read, limit=0.001)
+        _, decision = self.submit(self.read, limit=0.001)
         self.assertIs(decision.reason, RefusalReason.DEADLINE_UNREACHABLE)
         self.assertIs(decision.outcome, Outcome.NOT_RUN)
         self.assertGreater(decision.retry_after, 0)
@@ -94,23 +94,23 @@
     def test_full_queue_is_refused_at_once(self):
         self.make(queue_limit=2)
         self.fill(self.move)
-        decisions = [self.ask(self.move)[1] for _ in range(3)]
+        decisions = [self.submit(self.move)[1] for _ in range(3)]
         self.assertIs(decisions[-1].reason, RefusalReason.QUEUE_FULL)
 
-    def test_live_displaces_deferrable(self):
+    def test_live_evicts_deferrable(self):
         self.make(queue_limit=2)
         self.fill(self.read)
-        held, decision = self.ask(self.export)
+        queued, decision = self.submit(self.export)
         self.assertIsInstance(decision, Queued)
-        self.assertIsInstance(self.ask(self.read)[1], Queued)
+        self.assertIsInstance(self.submit(self.read)[1], Queued)
         [(ticket, refusal)] = self.dispatcher.expire(0.0)
-        self.assertIs(ticket, held)
+        self.assertIs(ticket, queued)
         self.assertIs(refusal.reason, RefusalReason.DISPLACED)
 
     def test_live_goes_first(self):
         sends = self.fill(self.read)
-        self.ask(self.export)
-        live, _ = self.ask(self.read)
+        self.submit(self.export)
+        live, _ = self.submit(self.read)
         for send in sends:
             self.dispatcher.complete_send(send, SendResult(SendStatus.ANSWERED), 0.01)
         first = next(iter(self.dispatcher.dispatch_queued(0.01)))
@@ -120,96 +120,96 @@
         self.make(endpoints=1, places=3)
         sends = self.fill(self.export)
         self.assertEqual(len(sends), 2)
-        self.assertIsInstance(self.ask(self.read)[1], Send)
+        self.assertIsInstance(self.submit(self.read)[1], Send)
 
     def test_no_endpoint(self):
         for address in ADDRESSES:
             self.dispatcher.mark_draining(address, 100.0)
-        _, decision = self.ask(self.move)
+        _, decision = self.submit(self.move)
         self.assertIs(decision.reason, RefusalReason.NO_ENDPOINT)
 
 
 class RetryTests(DispatcherCase):
     def end(self, route, end, **fields):
         self.earn()
-        ticket, send = self.ask(route, **fields)
+        ticket, send = self.submit(route, **fields)
         self.dispatcher.complete_send(send, SendResult(end), 0.01)
         return ticket, *self.dispatcher.retry(ticket, end, 0.01)
 
-    def test_lost_move_is_unknown_and_not_repeated(self):
+    def test_lost_move_is_unknown_and_not_retried(self):
         for end in (SendStatus.LOST, SendStatus.LATE):
             with self.subTest(end=end):
                 _, decision, reason = self.end(self.move, end)
                 self.assertIs(decision.outcome, Outcome.UNKNOWN)
                 self.assertIs(reason, RetryReason.DENIED_NOT_REPEATABLE)
 
-    def test_move_that_did_not_run_goes_elsewhere(self):
+    def test_move_that_did_not_run_goes_to_another_endpoint(self):
         for end in (SendStatus.REFUSED, SendStatus.CONNECT_FAILED):
             with self.subTest(end=end):
                 ticket, decision, _ = self.end(self.move, end)
                 self.assertIsInstance(decision, Send)
                 self.assertNotEqual(ticket.tried[0], ticket.tried[1])
 
-    def test_lost_read_is_sent_again(self):
+    def test_lost_read_is_retried(self):
         _, decision, reason = self.end(self.read, SendStatus.LOST)
         self.assertIsInstance(decision, Send)
         self.assertIs(reason, RetryReason.ANSWER_LOST)
 
-    def test_one_layer_sends_again(self):
+    def test_only_one_layer_retries(self):
         _, decision, reason = self.end(self.read, SendStatus.LOST, may_retry=False)
         self.assertIsInstance(decision, Refusal)
         self.assertIs(reason, RetryReason.DENIED_LAYER)
 
-    def test_sent_body_is_not_sent_again(self):
+    def test_sent_body_is_not_retried(self):
         _, decision, _ = self.end(self.read, SendStatus.REFUSED, replayable=False)
         self.assertIsInstance(decision, Refusal)
 
     def test_empty_budget(self):
-        ticket, send = self.ask(self.read)
+        ticket, send = self.submit(self.read)
         self.dispatcher.complete_send(send, SendResult(SendStatus.LOST), 0.01)
         _, reason = self.dispatcher.retry(ticket, SendStatus.LOST, 0.01)
         self.assertIs(reason, RetryReason.DENIED_BUDGET)
 
     def test_hedge_goes_to_another_endpoint(self):
         self.earn()
-        ticket, first = self.ask(self.read)
+        ticket, first = self.submit(self.read)
         hedge = self.dispatcher.hedging.start(ticket, 0.05)
         self.assertNotEqual(first.endpoint, hedge.endpoint)
 
     def test_move_is_never_hedged(self):
         self.earn()
-        ticket, _ = self.ask(self.move)
+        ticket, _ = self.submit(self.move)
         denied = self.dispatcher.hedging.start(ticket, 0.05)
         self.assertEqual(denied, RetryDenied(RetryReason.DENIED_NOT_REPEATABLE))
 
 
 class PreferenceTests(DispatcherCase):
     def count(self, now=1.0, requests=40):
-        """Return how many of several requests each endpoint gets."""
+        """Return the number of requests that each endpoint gets."""
         counts = dict.fromkeys(ADDRESSES, 0)
         for _ in range(requests):
-            _, send = self.ask(self.read, now)
+            _, send = self.submit(self.read, now)
             counts[send.endpoint] += 1
             self.dispatcher.complete_send(
                 send, SendResult(SendStatus.ANSWERED), now + 0.005
             )
         return counts
 
-    def test_overdue_endpoint_is_left_out(self):
-        _, stuck = self.ask(self.move, now=0.0)
+    def test_overdue_endpoint_is_skipped(self):
+        _, stuck = self.submit(self.move, now=0.0)
         self.assertEqual(self.count(now=0.2)[stuck.endpoint], 0)
 
-    def test_suspicion_counts_and_fades(self):
+    def test_suspicion_applies_and_decays(self):
         self.dispatcher.record_suspicion(ADDRESSES[0], 8.0, 1.0)
         self.assertEqual(self.count(now=1.0)[ADDRESSES[0]], 0)
         self.assertGreater(self.count(now=2.0)[ADDRESSES[0]], 0)
 
-    def test_failing_endpoint_without_load_draws_nothing(self):
+    def test_failing_endpoint_without_load_gets_few_requests(self):
         idle = LoadReport(0, 0.0, 0)
         failures = 0
         for number in range(200):
             now = number * 0.01
-            _, send = self.ask(self.read, now)
+            _, send = self.submit(self.read, now)
             bad = send.endpoint == ADDRESSES[0]
             failures += bad
             end = SendStatus.FAULT if bad else SendStatus.ANSWERED
@@ -219,7 +219,7 @@
 
     def test_never_more_than_half_are_ejected(self):
         for number in range(100):
-            _, send = self.ask(self.move, number * 0.001)
+            _, send = self.submit(self.move, number * 0.001)
             if isinstance(send, Send):
                 result = SendResult(SendStatus.CONNECT_FAILED)
                 self.dispatcher.complete_send(send, result, number * 0.001)
@@ -230,20 +230,20 @@
         ]
         self.assertLessEqual(len(out), 2)
 
-    def test_new_endpoint_does_not_draw_all_turns(self):
+    def test_new_endpoint_does_not_get_all_requests(self):
         self.make(endpoints=3, policy="round_robin")
         self.count(requests=30)
         self.dispatcher.configure(build(policy="round_robin"), FLEET)
         self.assertLessEqual(self.count(requests=8)[ADDRESSES[3]], 2)
 
-    def test_drained_endpoint_gets_nothing(self):
+    def test_draining_endpoint_gets_nothing(self):
         self.dispatcher.mark_draining(ADDRESSES[1], 5.0)
         self.assertEqual(self.count(now=1.0)[ADDRESSES[1]], 0)
         self.assertGreater(self.count(now=6.0)[ADDRESSES[1]], 0)
 
 
 class DispatcherMachine(RuleBasedStateMachine):
-    """Requests, ends, retries and drains in any order."""
+    """Requests, results, retries, hedges and drains in any order."""
 
     def __init__(self):
         super().__init__()
@@ -251,45 +251,45 @@
         self.dispatcher = Dispatcher(self.service, FLEET, random.Random(2))
         self.now = 0.0
         self.live = []
-        self.held = []
-        self.maybe_run = {}
-        self.first_sends = 0
+        self.queued = []
+        self.may_have_run = {}
+        self.submitted = 0
         self.extra_sends = 0
 
-    def take(self, ticket, decision):
+    def record_decision(self, ticket, decision):
         if isinstance(decision, Send):
             state = self.dispatcher.states[decision.endpoint]
             assert not state.is_draining(self.now)
             assert state.in_flight <= state.send_limit
-            assert ticket.route.repeatable or not self.maybe_run.get(ticket)
+            assert ticket.route.repeatable or not self.may_have_run.get(ticket)
             self.live.append(decision)
         elif isinstance(decision, Queued):
-            self.held.append(ticket)
+            self.queued.append(ticket)
         elif decision.outcome is Outcome.NOT_RUN:
-            assert not self.maybe_run.get(ticket)
+            assert not self.may_have_run.get(ticket)
 
     @rule(route=st.integers(0, 2), limit=st.floats(0.001, 1.0))
     def submit(self, route, limit):
         ticket = Ticket(self.service.routes[route], self.now, self.now + limit)
-        self.first_sends += 1
-        self.take(ticket, self.dispatcher.submit(ticket, self.now))
+        self.submitted += 1
+        self.record_decision(ticket, self.dispatcher.submit(ticket, self.now))
 
     @precondition(lambda self: self.live)
     @rule(index=st.integers(0, 100), end=st.sampled_from(list(SendStatus)))
-    def settle(self, index, end):
+    def complete_send(self, index, end):
         send = self.live.pop(index % len(self.live))
         ticket = send.ticket
         certain = (SendStatus.REFUSED, SendStatus.CONNECT_FAILED, SendStatus.NOT_SENT)
-        self.maybe_run[ticket] = self.maybe_run.get(ticket) or end not in certain
+        self.may_have_run[ticket] = self.may_have_run.get(ticket) or end not in certain
         self.dispatcher.complete_send(send, SendResult(end), self.now)
         others = any(other.ticket is ticket for other in self.live)
         if end in (SendStatus.ANSWERED, SendStatus.CANCELLED) or others:
             return
         decision, reason = self.dispatcher.retry(ticket, end, self.now)
-        # What follows a send that did not reach its endpoint takes that one's place.
+        # A send after NOT_SENT replaces one that was never written.
         is_extra = end is not SendStatus.NOT_SENT
         self.extra_sends += is_extra and isinstance(decision, (Send, Queued))
-        self.take(ticket, decision)
+        self.record_decision(ticket, decision)
 
     @precondition(lambda self: self.live)
     @rule(index=st.integers(0, 100))
@@ -309,11 +309,11 @@
     def pass_time(self, seconds):
         self.now += seconds
         for ticket, refusal in self.dispatcher.expire(self.now):
-            self.held.remove(ticket)
-            self.take(ticket, refusal)
+            self.queued.remove(ticket)
+            self.record_decision(ticket, refusal)
         for send in self.dispatcher.dispatch_queued(self.now):
-            self.held.remove(send.ticket)
-            self.take(send.ticket, send)
+            self.queued.remove(send.ticket)
+            self.record_decision(send.ticket, send)
 
     @invariant()
     def queue_is_bounded(self):
@@ -321,7 +321,7 @@
 
     @invariant()
     def budget_is_kept(self):
-        assert self.extra_sends <= self.first_sends
+        assert self.extra_sends <= self.submitted
 
 
 DispatcherMachine.TestCase.settings = settings(
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""Tests of second sends where endpoints are asked."""
+"""Tests of hedges where endpoints are queried before a send."""
 
 import random
 import unittest
@@ -27,42 +27,42 @@
         self.dispatcher.submit(self.ticket, 0.0)
         self.first = self.binding.handle_reply(reply("i1", 0), 0.01)
 
-    def test_a_hedge_asks_and_goes_elsewhere(self):
-        ask = self.dispatcher.hedging.start(self.ticket, 0.2)
-        self.assertIsInstance(ask, LoadQuery)
+    def test_hedge_queries_and_goes_to_another_endpoint(self):
+        query = self.dispatcher.hedging.start(self.ticket, 0.2)
+        self.assertIsInstance(query, LoadQuery)
         self.assertIsNone(self.binding.handle_reply(reply("i1", 0), 0.21))
         hedge = self.binding.handle_reply(reply("i2", 0), 0.21)
         self.assertTrue(hedge.hedge)
         self.assertEqual(self.ticket.sends, 2)
 
-    def test_a_hedge_never_takes_a_last_slot(self):
+    def test_hedge_never_takes_the_last_slot(self):
         self.dispatcher.hedging.start(self.ticket, 0.2)
         self.assertIsNone(self.binding.handle_reply(reply("i2", 2), 0.25))
 
-    def test_those_without_an_endpoint_go_first(self):
+    def test_requests_without_an_endpoint_go_first(self):
         self.dispatcher.hedging.start(self.ticket, 0.2)
         other = Ticket(ROUTE, 0.2, 2.2)
         self.dispatcher.submit(other, 0.2)
         self.assertIs(self.binding.handle_reply(reply("i2", 0), 0.21).ticket, other)
 
-    def test_no_hedge_while_others_wait(self):
+    def test_no_hedge_while_requests_wait(self):
         self.dispatcher.submit(Ticket(ROUTE, 0.2, 2.2), 0.2)
         tokens = self.dispatcher.retries.tokens
         denied = self.dispatcher.hedging.start(self.ticket, 0.2)
         self.assertIsInstance(denied, RetryDenied)
         self.assertEqual(self.dispatcher.retries.tokens, tokens)
 
-    def test_a_token_is_left_for_retries(self):
+    def test_hedge_leaves_a_token_for_retries(self):
         self.dispatcher.retries.tokens = 1.9
         denied = self.dispatcher.hedging.start(self.ticket, 0.2)
         self.assertIsInstance(denied, RetryDenied)
 
-    def test_the_operators_number_of_endpoints_holds(self):
+    def test_declared_number_of_sends_applies(self):
         self.ticket.sends = ROUTE.most_sends
         denied = self.dispatcher.hedging.start(self.ticket, 0.2)
         self.assertIsInstance(denied, RetryDenied)
 
-    def test_a_hedge_that_finds_nothing_ends_and_costs_nothing(self):
+    def test_cancelled_hedge_refunds_its_token(self):
         tokens = self.dispatcher.retries.tokens
         self.dispatcher.hedging.start(self.ticket, 0.2)
         self.binding.has_reports = False
@@ -71,11 +71,11 @@
         self.dispatcher.hedging.cancel(self.ticket)
         self.assertEqual(self.dispatcher.retries.tokens, tokens)
 
-    def test_a_hedge_waits_as_long_as_it_can_still_be_in_time(self):
-        pace = self.dispatcher.get_latency(ROUTE)
-        pace.median = 0.08
-        at_once = self.dispatcher.hedging.get_hedge_delay(self.first)
-        self.assertAlmostEqual(at_once, 0.25 - 0.01 - 1.25 * 0.08)
-        pace.median = 0.2
-        late = self.dispatcher.hedging.get_hedge_delay(self.first)
-        self.assertGreater(late, 0.8)
+    def test_hedge_starts_as_late_as_it_can_meet_the_target(self):
+        latency = self.dispatcher.get_latency(ROUTE)
+        latency.median = 0.08
+        short_delay = self.dispatcher.hedging.get_hedge_delay(self.first)
+        self.assertAlmostEqual(short_delay, 0.25 - 0.01 - 1.25 * 0.08)
+        latency.median = 0.2
+        long_delay = self.dispatcher.hedging.get_hedge_delay(self.first)
+        self.assertGreater(long_delay, 0.8)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_homes.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Tests of routes whose requests may be sent to some regions only."""
+"""Tests of routes that only the endpoints of some regions may serve."""
 
 import random
 import unittest
@@ -21,7 +21,7 @@
 from hingesill_core.routing.tests.test_latebinding import ROUTE, build_service
 
 FLEET = FleetView("north-1", 4, 8)
-# Two endpoints in each region but for one whose data centre nobody knows.
+# Two endpoints in each of three regions, and one whose region is unknown.
 REGIONS = ("north", "north", "south", "south", "west", "west", "")
 
 
@@ -53,14 +53,14 @@
         self.dispatcher = Dispatcher(self.service, FLEET, random.Random(1))
 
 
-class AskingTests(HomesCase):
-    def test_only_endpoints_at_home_are_asked(self):
-        ask = self.dispatcher.submit(self.ticket, 0.0)
-        self.assertEqual(sorted(ask.endpoints), ["south2", "south3"])
+class LoadQueryTests(HomesCase):
+    def test_only_endpoints_in_home_regions_are_queried(self):
+        query = self.dispatcher.submit(self.ticket, 0.0)
+        self.assertEqual(sorted(query.endpoints), ["south2", "south3"])
         again = self.binding.next_query(0.05)
         self.assertLessEqual(set(again.endpoints), {"south2", "south3"})
 
-    def test_a_reply_from_elsewhere_is_for_others(self):
+    def test_reply_from_another_region_serves_other_routes(self):
         self.dispatcher.submit(self.ticket, 0.0)
         self.assertIsNone(self.binding.handle_reply(reply("north0"), 0.05))
         self.assertIsNone(self.binding.handle_reply(reply("6"), 0.05))
@@ -71,7 +71,7 @@
             self.binding.handle_reply(reply("south2"), 0.05).ticket, self.ticket
         )
 
-    def test_a_retry_stays_at_home(self):
+    def test_retry_stays_in_home_regions(self):
         self.dispatcher.submit(self.ticket, 0.0)
         self.dispatcher.retries.tokens = 2.0
         send = self.binding.handle_reply(reply("south2"), 0.05)
@@ -81,15 +81,15 @@
         self.assertLessEqual(set(decision.endpoints), {"south2", "south3"})
         self.assertIsNone(self.binding.handle_reply(reply("west4"), 0.2))
 
-    def test_a_hedge_stays_at_home(self):
+    def test_hedge_stays_in_home_regions(self):
         self.dispatcher.submit(self.ticket, 0.0)
         self.dispatcher.retries.tokens = 2.0
         self.binding.handle_reply(reply("south2"), 0.05)
-        ask = self.dispatcher.hedging.start(self.ticket, 0.2)
-        self.assertLessEqual(set(ask.endpoints), {"south2", "south3"})
+        query = self.dispatcher.hedging.start(self.ticket, 0.2)
+        self.assertLessEqual(set(query.endpoints), {"south2", "south3"})
         self.assertIsNone(self.binding.handle_reply(reply("west4"), 0.21))
 
-    def test_without_an_endpoint_at_home_it_is_refused_at_once(self):
+    def test_without_an_endpoint_in_home_regions_it_is_refused(self):
         self.configure([r for r in REGIONS if r != "south"])
         refusal = self.dispatcher.submit(self.ticket, 0.0)
         self.assertIsInstance(refusal, Refusal)
@@ -97,33 +97,33 @@
         self.assertIs(refusal.outcome, Outcome.NOT_RUN)
         self.assertGreater(refusal.retry_after, 0.0)
 
-    def test_one_that_waits_is_refused_once_its_home_is_evacuated(self):
+    def test_waiting_request_is_refused_when_its_region_is_evacuated(self):
         self.dispatcher.submit(self.ticket, 0.0)
-        abroad = [e for e in self.service.endpoints if e.region != "south"]
-        service = replace(self.service, endpoints=tuple(abroad))
+        others = [e for e in self.service.endpoints if e.region != "south"]
+        service = replace(self.service, endpoints=tuple(others))
         self.dispatcher.configure(service, FLEET)
         ((ticket, refusal),) = self.binding.expire(0.05)
         self.assertIs(ticket, self.ticket)
         self.assertIs(refusal.reason, RefusalReason.NO_ENDPOINT)
 
 
-class TwoHomesTests(HomesCase):
+class TwoRegionsTests(HomesCase):
     HOMES = ("south", "west")
 
-    def test_both_are_used(self):
+    def test_both_regions_are_used(self):
         self.dispatcher.submit(self.ticket, 0.0)
         self.assertIsNone(self.binding.handle_reply(reply("north0"), 0.05))
         self.assertIsInstance(self.binding.handle_reply(reply("west5"), 0.05), Send)
 
 
-class UnaskedTests(HomesCase):
-    def test_a_send_without_questions_stays_at_home(self):
+class WithoutQueryTests(HomesCase):
+    def test_send_without_query_stays_in_home_regions(self):
         self.configure(policy="expected_wait")
         for _ in range(4):
             send = self.dispatcher.submit(Ticket(self.route, 0.0, 2.0), 0.0)
             self.assertIn(send.endpoint, ("south2", "south3"))
 
-    def test_without_an_endpoint_at_home_it_is_refused_at_once(self):
+    def test_without_an_endpoint_in_home_regions_it_is_refused(self):
         self.configure(["north", "west"], policy="expected_wait")
         refusal = self.dispatcher.submit(self.ticket, 0.0)
         self.assertIs(refusal.reason, RefusalReason.NO_ENDPOINT)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
@@ -1,4 +1,4 @@
-"""Tests of decisions for endpoints that name limits."""
+"""Tests of routing to endpoints that report rate limits."""
 
 import random
 import unittest
@@ -19,11 +19,11 @@
 )
 from hingesill_core.routing.tests.test_latebinding import ROUTE, build_service, reply
 
-OWN = ("10.0.0.1", 80)
+OWN_ADDRESS = ("10.0.0.1", 80)
 
 
-def name(endpoint, limit, at, running=0):
-    """Return an endpoint's reply that names a limit, or none."""
+def build_reply(endpoint, limit, at, running=0):
+    """Return a load reply with a rate limit, or without one."""
     named = NO_LIMIT if limit is None else ParsedLimit(limit)
     return replace(reply(endpoint, running), limit=named, sent_at=at)
 
@@ -35,19 +35,19 @@
         service = replace(build_service(2), policy=self.policy)
         self.dispatcher = Dispatcher(service, FleetView("a", 1, 2), random.Random(1))
         self.limits = self.dispatcher.limits
-        self.limits.own = OWN
-        self.limits.coordinators = [OWN]
+        self.limits.own = OWN_ADDRESS
+        self.limits.coordinators = [OWN_ADDRESS]
         self.binding = self.dispatcher.binding
 
-    def name_all(self, limit, at=0.0):
+    def limit_all(self, limit, at=0.0):
         for endpoint in ("i0", "i1"):
-            self.binding.handle_reply(name(endpoint, limit, at), at + 0.01)
+            self.binding.handle_reply(build_reply(endpoint, limit, at), at + 0.01)
 
     def submit(self, now):
         return self.dispatcher.submit(Ticket(ROUTE, now, now + 2.0), now)
 
     def send(self, now):
-        """Submit a request, let all that is asked reply; return what became of it."""
+        """Submit a request and answer its load queries; return the decision."""
         decision = self.submit(now)
         if not isinstance(decision, LoadQuery):
             return decision
@@ -57,24 +57,26 @@
         return next((send for send in sends if send is not None), None)
 
 
-class AskedTests(LimitedCase):
-    def test_endpoints_without_a_need_go_first(self):
-        self.binding.handle_reply(name("i0", 3.0, 0.0), 0.01)
+class LoadQueryTests(LimitedCase):
+    def test_unlimited_endpoints_go_first(self):
+        self.binding.handle_reply(build_reply("i0", 3.0, 0.0), 0.01)
         for number in range(10):
-            ask = self.submit(0.1 + number / 1000)
-            self.assertEqual(ask.endpoints, ("i1",))
+            query = self.submit(0.1 + number / 1000)
+            self.assertEqual(query.endpoints, ("i1",))
 
-    def test_those_in_need_are_used_when_the_others_are_full(self):
-        self.binding.handle_reply(name("i0", 3.0, 0.0), 0.01)
+    def test_limited_endpoints_are_used_when_others_are_full(self):
+        self.binding.handle_reply(build_reply("i0", 3.0, 0.0), 0.01)
         self.submit(1.0)
         self.assertIsNone(self.binding.handle_reply(reply("i1", 3), 1.0))
-        asked = [self.binding.next_query(1.0 + n * 0.015) for n in range(40)]
-        endpoints = {name for ask in asked if ask for name in ask.endpoints}
+        queries = [self.binding.next_query(1.0 + n * 0.015) for n in range(40)]
+        endpoints = {
+            identity for query in queries if query for identity in query.endpoints
+        }
         self.assertIn("i0", endpoints)
         self.assertIsInstance(self.binding.handle_reply(reply("i0", 0), 1.6), Send)
 
-    def test_all_are_in_need(self):
-        self.name_all(2.0)
+    def test_all_are_limited(self):
+        self.limit_all(2.0)
         decisions = [self.send(1.0 + number / 50) for number in range(200)]
         sends = [d for d in decisions if isinstance(d, Send)]
         refusals = [d for d in decisions if isinstance(d, Refusal)]
@@ -87,27 +89,27 @@
         self.assertEqual({refusal.outcome for refusal in refusals}, {Outcome.NOT_RUN})
         self.assertTrue(all(refusal.retry_after > 0 for refusal in refusals))
 
-    def test_who_comes_back_as_told_while_nobody_else_does_is_served(self):
-        self.name_all(1.0)
+    def test_request_after_retry_after_is_served(self):
+        self.limit_all(1.0)
         now = 1.0
         while not isinstance(decision := self.send(now), Refusal):
             now += 0.001
         later = now + decision.retry_after
-        ask = self.submit(later)
-        self.assertIsInstance(ask, LoadQuery)
+        query = self.submit(later)
+        self.assertIsInstance(query, LoadQuery)
 
-    def test_a_limit_of_nothing(self):
-        self.name_all(0.0)
+    def test_limit_of_zero(self):
+        self.limit_all(0.0)
         for number in range(20):
             self.assertIsInstance(self.send(1.0 + number), Refusal)
 
-    def test_the_need_is_over(self):
-        self.name_all(0.0)
-        self.name_all(None, 1.0)
+    def test_ended_limit(self):
+        self.limit_all(0.0)
+        self.limit_all(None, 1.0)
         self.assertIsInstance(self.send(2.0), Send)
 
-    def test_a_started_endpoint_has_no_limit(self):
-        self.name_all(0.0)
+    def test_restarted_endpoint_has_no_limit(self):
+        self.limit_all(0.0)
         service = self.dispatcher.service
         endpoints = tuple(replace(e, born=7) for e in service.endpoints)
         self.dispatcher.configure(
@@ -115,8 +117,8 @@
         )
         self.assertEqual(self.limits.limited, {})
 
-    def test_retries_and_hedges_need_a_grant_too(self):
-        self.name_all(0.5)
+    def test_retries_and_hedges_need_a_grant(self):
+        self.limit_all(0.5)
         sends = [self.send(1.0 + number / 100) for number in range(600)]
         sends = [send for send in sends if isinstance(send, Send)]
         before = len(sends)
@@ -125,23 +127,23 @@
         self.assertNotIsInstance(self.dispatcher.hedging.start(ticket, 7.0), Send)
         self.assertLessEqual(before, 2 * 0.5 * 6.0 + 2)
 
-    def test_without_a_need_nothing_is_asked_for(self):
+    def test_without_limits_no_grants_are_requested(self):
         self.limits.grant_client.want = None
         self.assertIsInstance(self.send(1.0), Send)
         self.binding.next_query(1.1)
 
 
-class UnaskedTests(LimitedCase):
-    """Endpoints that are not asked before each send."""
+class WithoutQueryTests(LimitedCase):
+    """Endpoints that are not queried before each send."""
 
     policy = "expected_wait"
 
-    def name_all(self, limit, at=0.0):
+    def limit_all(self, limit, at=0.0):
         for endpoint in ("i0", "i1"):
             self.limits.note(endpoint, 0, ParsedLimit(limit), at, at + 0.01)
 
-    def test_all_are_in_need(self):
-        self.name_all(2.0)
+    def test_all_are_limited(self):
+        self.limit_all(2.0)
         sends, refused = 0, 0
         for number in range(200):
             now = 1.0 + number / 50
@@ -156,7 +158,7 @@
         self.assertGreater(sends, 8)
         self.assertGreater(refused, 0)
 
-    def test_one_is_in_need(self):
+    def test_one_is_limited(self):
         self.limits.note("i0", 0, ParsedLimit(0.0), 0.0, 0.01)
         sends = [self.submit(1.0 + number) for number in range(2)]
         self.assertEqual({send.endpoint for send in sends}, {"i1"})
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_limitedload.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_limitedload.py
@@ -1,4 +1,4 @@
-"""What callers get where some endpoints name limits, played without a network."""
+"""Simulation of callers while some endpoints report rate limits, without a network."""
 
 import unittest
 from bisect import bisect_left
@@ -14,44 +14,44 @@
 # A fifth of the endpoints.
 NEEDY = FaultPeriod(0.0, 60.0, last=0.2, limit=LIMIT)
 NEEDY_ENDPOINTS = 24
-# From then on all nodes know of the limits.
+# Time from which all nodes know the limits, in seconds.
 KNOWN_SECONDS = 3.0
 WINDOW_SECONDS = 4.0
 
 
 def measure(load, seed):
-    """Play; return the play and the share of requests that were in time."""
-    played = Simulation(load, seed)
-    requests = [r for r in played.run() if r.sent_at >= KNOWN_SECONDS]
-    return played, sum(r.is_in_time() for r in requests) / len(requests)
+    """Run a simulation; return it and the share of requests in time."""
+    simulation = Simulation(load, seed)
+    requests = [r for r in simulation.run() if r.sent_at >= KNOWN_SECONDS]
+    return simulation, sum(r.is_in_time() for r in requests) / len(requests)
 
 
-def count_worst(times):
-    """Return the most arrivals in a window of those that come once limits are known."""
+def count_max_arrivals(times):
+    """Return the maximum of arrivals in a window once the limits are known."""
     times = [at for at in times if at >= KNOWN_SECONDS]
     ends = [bisect_left(times, at + WINDOW_SECONDS) for at in times]
     return max((end - begin for begin, end in enumerate(ends)), default=0)
 
 
-class OthersTests(unittest.TestCase):
-    """Endpoints without a need serve as well as if those in need were not there.
+class UnlimitedEndpointTests(unittest.TestCase):
+    """Unlimited endpoints serve as well as without the limited ones.
 
-    In time with 24 of 120 endpoints at a limit of 1 a second 0.996 and 0.999, with the
-    other 96 alone 0.993 and 0.993, with 120 without a need 0.998 and 0.997: 350
-    requests a second to 18 nodes, two plays each.
+    The share in time with 24 of 120 endpoints at a limit of 1 a second is 0.996 and
+    0.999, with the other 96 alone 0.993 and 0.993, with 120 unlimited endpoints 0.998
+    and 0.997: 350 requests a second to 18 nodes, two simulations each.
     """
 
-    def test_callers_are_served_as_by_the_others_alone(self):
+    def test_callers_are_served_as_by_unlimited_endpoints_alone(self):
         load = replace(CALM, nodes=18)
         alone = replace(load, endpoints=120 - NEEDY_ENDPOINTS)
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                played, in_time = measure(replace(load, spells=(NEEDY,)), seed)
+                simulation, in_time = measure(replace(load, spells=(NEEDY,)), seed)
                 _, without = measure(alone, seed)
                 self.assertGreater(in_time, without - 0.01)
-                self.assert_limits_kept(played)
+                self.assert_limits_apply(simulation)
 
-    def assert_limits_kept(self, played):
-        needy = list(played.endpoints.values())[:NEEDY_ENDPOINTS]
-        worst = max(count_worst(endpoint.arrivals) for endpoint in needy)
-        self.assertLessEqual(worst, 1.25 * LIMIT * WINDOW_SECONDS + 5)
+    def assert_limits_apply(self, simulation):
+        needy = list(simulation.endpoints.values())[:NEEDY_ENDPOINTS]
+        max_arrivals = max(count_max_arrivals(endpoint.arrivals) for endpoint in needy)
+        self.assertLessEqual(max_arrivals, 1.25 * LIMIT * WINDOW_SECONDS + 5)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_serviceavailability.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_serviceavailability.py
@@ -1,4 +1,4 @@
-"""Tests of requests while endpoints want none."""
+"""Tests of requests while endpoints back off or leave."""
 
 import random
 import unittest
@@ -20,26 +20,26 @@
 )
 
 
-class OpeningCase(unittest.TestCase):
+class AvailabilityCase(unittest.TestCase):
     def setUp(self):
         self.dispatcher = Dispatcher(build_service(3), FLEET, random.Random(1))
         self.binding = self.dispatcher.binding
 
     def backoff(self, *seconds, now=0.0):
         for number, backoff in enumerate(seconds):
-            asked = RequestedBackoff(backoff)
+            requested = RequestedBackoff(backoff)
             self.dispatcher.service_availability.record(
-                f"i{number}", 0, asked, False, now
+                f"i{number}", 0, requested, False, now
             )
 
     def submit(self, now=0.0):
         return self.dispatcher.submit(Ticket(ROUTE, now, now + 2.0), now)
 
 
-class AllRestTests(OpeningCase):
-    """All three endpoints asked for a rest."""
+class AllBackingOffTests(AvailabilityCase):
+    """All three endpoints requested a back-off."""
 
-    def test_a_new_request_is_refused_with_the_end_of_the_first_rest(self):
+    def test_new_request_is_refused_until_the_first_backoff_ends(self):
         self.backoff(5.0, 3.0, 4.0)
         refusal = self.submit(1.0)
         self.assertIs(refusal.reason, RefusalReason.ENDPOINTS_RESTING)
@@ -47,7 +47,7 @@
         self.assertGreaterEqual(refusal.retry_after, 2.0)
         self.assertLessEqual(refusal.retry_after, 2.0 + RETRY_AFTER_SPREAD_SECONDS)
 
-    def test_returns_are_spread(self):
+    def test_retry_after_is_spread(self):
         self.backoff(3.0, 3.0, 3.0)
         returns = {self.submit(1.0).retry_after for _ in range(20)}
         self.assertEqual(len(returns), 20)
@@ -55,19 +55,19 @@
             max(returns) - min(returns), 0.5 * RETRY_AFTER_SPREAD_SECONDS
         )
 
-    def test_an_end_that_comes_at_once_is_waited_for(self):
+    def test_request_waits_for_a_backoff_that_ends_soon(self):
         self.backoff(3.0, 3.0, 3.0)
         self.assertIsInstance(
             self.submit(3.0 - 0.9 * MAX_BACKOFF_WAIT_SECONDS), LoadQuery
         )
 
-    def test_a_request_that_waits_already_is_refused_with_the_next_round(self):
+    def test_waiting_request_is_refused_in_the_next_round(self):
         self.submit()
         self.backoff(3.0, 3.0, 3.0, now=0.01)
         [(_, refusal)] = self.binding.expire(0.02)
         self.assertIs(refusal.reason, RefusalReason.ENDPOINTS_RESTING)
 
-    def test_who_was_refused_by_the_last_one_comes_back_after_the_rest(self):
+    def test_request_refused_by_the_last_endpoint_gets_retry_after(self):
         self.backoff(3.0, 3.0)
         self.submit()
         send = self.binding.handle_reply(reply("i2", 0), 0.01)
@@ -81,13 +81,13 @@
         self.assertGreaterEqual(refusal.retry_after, 2.0)
         self.assertIs(refusal.outcome, Outcome.NOT_RUN)
 
-    def test_endpoints_that_are_not_asked_first(self):
+    def test_without_load_queries(self):
         self.binding.has_reports = False
         self.backoff(3.0, 3.0, 3.0)
         refusal = self.submit(1.0)
         self.assertIs(refusal.reason, RefusalReason.ENDPOINTS_RESTING)
 
-    def test_a_request_that_is_held_is_refused_as_well(self):
+    def test_queued_request_is_refused(self):
         self.binding.has_reports = False
         for state in self.dispatcher.states.values():
             state.send_limit = 0
@@ -99,13 +99,13 @@
         self.assertIs(refusal.reason, RefusalReason.ENDPOINTS_RESTING)
 
 
-class OneTakesRequestsTests(OpeningCase):
-    def test_requests_wait_for_it(self):
+class OneAvailableTests(AvailabilityCase):
+    def test_requests_wait_for_the_remaining_endpoint(self):
         self.backoff(3.0, 3.0)
         self.assertIsInstance(self.submit(), LoadQuery)
         self.assertEqual(list(self.binding.expire(0.02)), [])
 
-    def test_one_that_lost_the_request_is_none_to_wait_for(self):
+    def test_endpoint_that_lost_the_request_is_not_waited_for(self):
         self.backoff(3.0, 3.0)
         self.submit()
         send = self.binding.handle_reply(reply("i2", 0), 0.01)
@@ -114,8 +114,8 @@
         self.assertIsInstance(decision, Refusal)
 
 
-class AllLeaveTests(OpeningCase):
-    def test_a_new_request_is_refused_at_once(self):
+class AllLeavingTests(AvailabilityCase):
+    def test_new_request_is_refused(self):
         for number in range(3):
             self.dispatcher.service_availability.record(
                 f"i{number}", 0, NO_BACKOFF, True, 0.0
