--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -118,10 +118,10 @@
                 endpoint.identity, service_view=self.service_view, born=born
             )
             state.availability = self.availabilities.get(endpoint.identity, born)
-        near = endpoint.data_centre == self.fleet.data_centre
+        is_near = endpoint.data_centre == self.fleet.data_centre
         state.limits = self.limits
         state.slots = endpoint.slots
-        state.is_near = near
+        state.is_near = is_near
         state.region = endpoint.region
         state.record_entry(endpoint.warm_in)
         state.send_limit = compute_send_limit(
@@ -287,8 +287,8 @@
     def dispatch_queued(self, now):
         """Yield a Send for each queued request that can be sent now."""
         if self.limits.limited:
-            patience = max((t.deadline - now for t in self.queue), default=0.0)
-            self.limits.grant_client.want(len(self.queue), patience, now)
+            max_wait = max((t.deadline - now for t in self.queue), default=0.0)
+            self.limits.grant_client.want(len(self.queue), max_wait, now)
         for live in (True, False):
             while True:
                 ticket = self.queue.get_first(live)
@@ -377,9 +377,9 @@
         self.get_latency(route).note(seconds, send.load)
         if route.live:
             self.latency.note(seconds)
-            away = CROSS_DATA_CENTRE_RTT_SECONDS / self.latency.median
+            distance = CROSS_DATA_CENTRE_RTT_SECONDS / self.latency.median
             for state in self.states.values():
-                state.distance = 0.0 if state.is_near else away
+                state.distance = 0.0 if state.is_near else distance
 
     def _may_eject(self, now):
         ejected = sum(not s.health.accepts_traffic() for s in self.states.values())
--- a/packages/hingesill-core/hingesill_core/routing/latebinding.py
+++ b/packages/hingesill-core/hingesill_core/routing/latebinding.py
@@ -45,7 +45,7 @@
         self.pool = pool
         self.rules = rules or QueryRules()
         self.budget = QueryBudget()
-        self.slots = ConcurrencyModel(curves)
+        self.concurrency_model = ConcurrencyModel(curves)
         self.selection = EndpointSelection(dispatcher, self.rules)
         self.dequeue_interval = DequeueInterval()
         self.warm_up = WarmUpLimit()
@@ -53,7 +53,7 @@
         self.has_reports = True
         self.waiting = {}
         self.limits = dispatcher.limits
-        self.limited = LimitedWaiting(self, dispatcher.limited_requests)
+        self.limited_waiting = LimitedWaiting(self, dispatcher.limited_requests)
         self._late_queried_at = float("-inf")
 
     def configure(self, service, fleet):
@@ -61,7 +61,7 @@
         if service.probes.pooled:
             self.budget = self.pool
         self.budget.set_part(service.name, service.probes, fleet.nodes)
-        self.slots.usual_times.keep(service.routes)
+        self.concurrency_model.usual_times.keep(service.routes)
         self.warm_up.configure(service, fleet)
 
     def add_request(self, ticket, now):
@@ -83,7 +83,7 @@
         if not self._count_waiting():
             self.dequeue_interval.begin(now)
         waiting = self.waiting[ticket] = self._build_waiting(ticket, now)
-        if self.limits.limited and not self.limited.admit(ticket, now):
+        if self.limits.limited and not self.limited_waiting.admit(ticket, now):
             self.waiting.pop(ticket)
             return self.dispatcher.refuse(ticket, RefusalReason.ENDPOINTS_LIMITED, now)
         if waiting.get_stage(now, self.rules) is Stage.LATE:
@@ -149,12 +149,12 @@
         if not self.waiting:
             return None
         if self.limits.limited:
-            self.limited.want_grants(now)
+            self.limited_waiting.want_grants(now)
         routes = {waiting.ticket.route for waiting in self.waiting.values()}
-        endpoints = self._choose_endpoints(self._count_wanted(now), now, routes)
+        endpoints = self._choose_endpoints(self._compute_fan_out(now), now, routes)
         return LoadQuery(endpoints) if endpoints else None
 
-    def _count_wanted(self, now):
+    def _compute_fan_out(self, now):
         """Return the number of endpoints to query in this round.
 
         Notes
@@ -233,7 +233,7 @@
         if is_cold and stage is Stage.SELECTIVE:
             return False
         max_slowness = self.selection.get_most_slowness()
-        usable = self.slots.get_concurrency_limit(state.report.slots, now)
+        usable = self.concurrency_model.get_concurrency_limit(state.report.slots, now)
         return is_good_enough(state.report, stage, usable, max_slowness)
 
     def record_reply(self, reply, now):
@@ -277,12 +277,14 @@
         state = self.dispatcher.find_state(send)
         if send.occupied and state is not None:
             route = send.ticket.route
-            self.slots.record_answer(route, seconds, send.occupied, state.slots, now)
+            self.concurrency_model.record_answer(
+                route, seconds, send.occupied, state.slots, now
+            )
 
     def expire(self, now):
         """Yield (ticket, decision) for each request that stops waiting."""
         if self.limits.limited:
-            for ticket in self.limited.list_surplus(now):
+            for ticket in self.limited_waiting.list_surplus(now):
                 self.waiting.pop(ticket)
                 reason = RefusalReason.ENDPOINTS_LIMITED
                 yield ticket, self.dispatcher.refuse(ticket, reason, now)
--- a/packages/hingesill-core/hingesill_core/routing/limitedrequests.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedrequests.py
@@ -33,8 +33,8 @@
         dispatcher = self._dispatcher
         dispatcher.limits.grant_client.record_request(now)
         tickets = [*dispatcher.queue, ticket]
-        patience = ticket.deadline - now
-        dispatcher.limits.grant_client.want(len(tickets), patience, now)
+        max_wait = ticket.deadline - now
+        dispatcher.limits.grant_client.want(len(tickets), max_wait, now)
         return ticket in self.list_surplus([(t, t.deadline) for t in tickets], now)
 
     def list_surplus(self, waiting, now):
--- a/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
@@ -44,13 +44,13 @@
         waiting = self._list_waiting()
         routes = {item.ticket.route for item in waiting}
         blocked_routes = {r for r in routes if self._requests.needs_grant(r, now)}
-        patient_since = now - UNLIMITED_WAIT_SECONDS
+        waiting_since = now - UNLIMITED_WAIT_SECONDS
         needing = sum(
-            item.since <= patient_since or item.ticket.route in blocked_routes
+            item.since <= waiting_since or item.ticket.route in blocked_routes
             for item in waiting
         )
-        patience = max((item.late_at - now for item in waiting), default=0.0)
-        self._grant_client.want(needing, max(patience, LATE_WAIT_SECONDS), now)
+        max_wait = max((item.late_at - now for item in waiting), default=0.0)
+        self._grant_client.want(needing, max(max_wait, LATE_WAIT_SECONDS), now)
 
     def list_surplus(self, now):
         """Return the waiting tickets that will get no grant in time.
--- a/packages/hingesill-core/hingesill_core/routing/tests/simulatednode.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/simulatednode.py
@@ -60,7 +60,7 @@
     @property
     def slots(self):
         """What it knows of the endpoints' slots."""
-        return self.dispatcher.binding.slots
+        return self.dispatcher.binding.concurrency_model
 
     def submit(self, request):
         """Take a caller's try."""
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_availability.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_availability.py
@@ -107,7 +107,7 @@
         self.dispatcher = Dispatcher(build_service(2), FLEET, random.Random(1))
         self.state = self.dispatcher.states["i0"]
 
-    def backoff(self, now=0.0, backoff=RequestedBackoff(3.0)):
+    def record_backoff(self, now=0.0, backoff=RequestedBackoff(3.0)):
         self.dispatcher.service_availability.record("i0", 0, backoff, False, now)
 
     def complete_send(self, end):
@@ -117,34 +117,34 @@
         self.dispatcher.complete_send(send, result, 0.0)
 
     def test_it_is_not_queried(self):
-        self.backoff()
+        self.record_backoff()
         for _ in range(10):
             query = self.dispatcher.submit(Ticket(ROUTE, 0.1, 2.0), 0.1)
             self.assertNotIn("i0", query.endpoints)
 
     def test_its_reply_in_flight_serves_no_request(self):
         self.dispatcher.submit(Ticket(ROUTE, 0.0, 2.0), 0.0)
-        self.backoff()
+        self.record_backoff()
         self.assertIsNone(self.dispatcher.binding.handle_reply(reply("i0", 0), 0.1))
 
     def test_it_gets_no_request_without_query(self):
-        self.backoff()
+        self.record_backoff()
         ticket = Ticket(ROUTE, 0.0, 9.0)
         self.assertFalse(self.state.has_capacity(ticket, 2.9))
         self.assertTrue(self.state.has_capacity(ticket, 3.0))
 
     def test_it_is_used_again_after_its_backoff(self):
-        self.backoff()
+        self.record_backoff()
         self.dispatcher.submit(Ticket(ROUTE, 3.0, 5.0), 3.0)
         self.assertIsNotNone(self.dispatcher.binding.handle_reply(reply("i0", 0), 3.01))
 
     def test_backoff_with_invalid_length_lasts_a_second(self):
-        self.backoff(backoff=INVALID_BACKOFF)
+        self.record_backoff(backoff=INVALID_BACKOFF)
         self.assertFalse(self.state.availability.takes_requests(0.9))
         self.assertTrue(self.state.availability.takes_requests(1.0))
 
     def test_reconfiguration_keeps_the_backoff(self):
-        self.backoff()
+        self.record_backoff()
         self.dispatcher.configure(build_service(0), FLEET)
         self.dispatcher.configure(build_service(2), FLEET)
         self.assertFalse(self.dispatcher.states["i0"].availability.takes_requests(1.0))
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_limited.py
@@ -24,8 +24,8 @@
 
 def build_reply(endpoint, limit, at, running=0):
     """Return a load reply with a rate limit, or without one."""
-    named = NO_LIMIT if limit is None else ParsedLimit(limit)
-    return replace(reply(endpoint, running), limit=named, sent_at=at)
+    parsed = NO_LIMIT if limit is None else ParsedLimit(limit)
+    return replace(reply(endpoint, running), limit=parsed, sent_at=at)
 
 
 class LimitedCase(unittest.TestCase):
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_serviceavailability.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_serviceavailability.py
@@ -25,7 +25,7 @@
         self.dispatcher = Dispatcher(build_service(3), FLEET, random.Random(1))
         self.binding = self.dispatcher.binding
 
-    def backoff(self, *seconds, now=0.0):
+    def request_backoff(self, *seconds, now=0.0):
         for number, backoff in enumerate(seconds):
             requested = RequestedBackoff(backoff)
             self.dispatcher.service_availability.record(
@@ -40,7 +40,7 @@
     """All three endpoints requested a back-off."""
 
     def test_new_request_is_refused_until_the_first_backoff_ends(self):
-        self.backoff(5.0, 3.0, 4.0)
+        self.request_backoff(5.0, 3.0, 4.0)
         refusal = self.submit(1.0)
         self.assertIs(refusal.reason, RefusalReason.ENDPOINTS_RESTING)
         self.assertIs(refusal.outcome, Outcome.NOT_RUN)
@@ -48,27 +48,27 @@
         self.assertLessEqual(refusal.retry_after, 2.0 + RETRY_AFTER_SPREAD_SECONDS)
 
     def test_retry_after_is_spread(self):
-        self.backoff(3.0, 3.0, 3.0)
-        returns = {self.submit(1.0).retry_after for _ in range(20)}
-        self.assertEqual(len(returns), 20)
+        self.request_backoff(3.0, 3.0, 3.0)
+        retry_afters = {self.submit(1.0).retry_after for _ in range(20)}
+        self.assertEqual(len(retry_afters), 20)
         self.assertGreater(
-            max(returns) - min(returns), 0.5 * RETRY_AFTER_SPREAD_SECONDS
+            max(retry_afters) - min(retry_afters), 0.5 * RETRY_AFTER_SPREAD_SECONDS
         )
 
     def test_request_waits_for_a_backoff_that_ends_soon(self):
-        self.backoff(3.0, 3.0, 3.0)
+        self.request_backoff(3.0, 3.0, 3.0)
         self.assertIsInstance(
             self.submit(3.0 - 0.9 * MAX_BACKOFF_WAIT_SECONDS), LoadQuery
         )
 
     def test_waiting_request_is_refused_in_the_next_round(self):
         self.submit()
-        self.backoff(3.0, 3.0, 3.0, now=0.01)
+        self.request_backoff(3.0, 3.0, 3.0, now=0.01)
         [(_, refusal)] = self.binding.expire(0.02)
         self.assertIs(refusal.reason, RefusalReason.ENDPOINTS_RESTING)
 
     def test_request_refused_by_the_last_endpoint_gets_retry_after(self):
-        self.backoff(3.0, 3.0)
+        self.request_backoff(3.0, 3.0)
         self.submit()
         send = self.binding.handle_reply(reply("i2", 0), 0.01)
         result = SendResult(SendStatus.REFUSED, backoff=RequestedBackoff(2.0))
@@ -83,7 +83,7 @@
 
     def test_without_load_queries(self):
         self.binding.has_reports = False
-        self.backoff(3.0, 3.0, 3.0)
+        self.request_backoff(3.0, 3.0, 3.0)
         refusal = self.submit(1.0)
         self.assertIs(refusal.reason, RefusalReason.ENDPOINTS_RESTING)
 
@@ -93,7 +93,7 @@
             state.send_limit = 0
         ticket = Ticket(ROUTE, 0.0, 2.0)
         self.dispatcher.submit(ticket, 0.0)
-        self.backoff(3.0, 3.0, 3.0)
+        self.request_backoff(3.0, 3.0, 3.0)
         [(refused, refusal)] = self.dispatcher.expire(0.01)
         self.assertIs(refused, ticket)
         self.assertIs(refusal.reason, RefusalReason.ENDPOINTS_RESTING)
@@ -101,12 +101,12 @@
 
 class OneAvailableTests(AvailabilityCase):
     def test_requests_wait_for_the_remaining_endpoint(self):
-        self.backoff(3.0, 3.0)
+        self.request_backoff(3.0, 3.0)
         self.assertIsInstance(self.submit(), LoadQuery)
         self.assertEqual(list(self.binding.expire(0.02)), [])
 
     def test_endpoint_that_lost_the_request_is_not_waited_for(self):
-        self.backoff(3.0, 3.0)
+        self.request_backoff(3.0, 3.0)
         self.submit()
         send = self.binding.handle_reply(reply("i2", 0), 0.01)
         self.dispatcher.complete_send(send, SendResult(SendStatus.LOST), 0.1)
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -106,7 +106,7 @@
     @property
     def slots(self):
         """What is known of the slots of the service's endpoints."""
-        return self.dispatcher.binding.slots
+        return self.dispatcher.binding.concurrency_model
 
     def find_pool(self, identity):
         """Return the connections to an endpoint, or None if it is gone."""
