--- a/packages/hingesill-core/hingesill_core/routing/__init__.py
+++ b/packages/hingesill-core/hingesill_core/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoint a request goes to."""
+"""Routing: choosing the endpoint for a request."""
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_dispatcher.py
@@ -84,14 +84,14 @@
         self.dispatcher.complete_send(sends[0], SendResult(SendStatus.ANSWERED), 0.01)
         self.assertEqual(len(list(self.dispatcher.dispatch_queued(0.01))), 1)
 
-    def test_unreachable_deadline_is_refused_at_once(self):
+    def test_unreachable_deadline_is_refused_immediately(self):
         self.fill(self.read)
         _, decision = self.submit(self.read, limit=0.001)
         self.assertIs(decision.reason, RefusalReason.DEADLINE_UNREACHABLE)
         self.assertIs(decision.outcome, Outcome.NOT_RUN)
         self.assertGreater(decision.retry_after, 0)
 
-    def test_full_queue_is_refused_at_once(self):
+    def test_full_queue_is_refused_immediately(self):
         self.make(queue_limit=2)
         self.fill(self.move)
         decisions = [self.submit(self.move)[1] for _ in range(3)]
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_limitedload.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_limitedload.py
@@ -11,9 +11,9 @@
 
 SEEDS = (1, 2, 3)
 LIMIT = 1.0
-# A fifth of the endpoints.
+# A fifth of the endpoints report a limit.
 NEEDY = FaultPeriod(0.0, 60.0, last=0.2, limit=LIMIT)
-NEEDY_ENDPOINTS = 24
+LIMITED_ENDPOINTS = 24
 # Time from which all nodes know the limits, in seconds.
 KNOWN_SECONDS = 3.0
 WINDOW_SECONDS = 4.0
@@ -43,7 +43,7 @@
 
     def test_callers_are_served_as_by_unlimited_endpoints_alone(self):
         load = replace(CALM, nodes=18)
-        alone = replace(load, endpoints=120 - NEEDY_ENDPOINTS)
+        alone = replace(load, endpoints=120 - LIMITED_ENDPOINTS)
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 simulation, in_time = measure(replace(load, spells=(NEEDY,)), seed)
@@ -52,6 +52,8 @@
                 self.assert_limits_apply(simulation)
 
     def assert_limits_apply(self, simulation):
-        needy = list(simulation.endpoints.values())[:NEEDY_ENDPOINTS]
-        max_arrivals = max(count_max_arrivals(endpoint.arrivals) for endpoint in needy)
+        limited = list(simulation.endpoints.values())[:LIMITED_ENDPOINTS]
+        max_arrivals = max(
+            count_max_arrivals(endpoint.arrivals) for endpoint in limited
+        )
         self.assertLessEqual(max_arrivals, 1.25 * LIMIT * WINDOW_SECONDS + 5)
