--- a/packages/hingesill-core/hingesill_core/probing/probetarget.py
+++ b/packages/hingesill-core/hingesill_core/probing/probetarget.py
@@ -26,7 +26,7 @@
     endpoint that was not heard from for a while although the service is in use. A
     service without traffic is not probed: no caller would benefit.
     """
-    if now - dispatcher.last_submit > IN_USE_SECONDS:
+    if now - dispatcher.last_submit_at > IN_USE_SECONDS:
         return None
     best = None
     longest = MAX_SILENCE_SECONDS
@@ -39,7 +39,7 @@
             continue
         if state.health.is_trial_due(now):
             return state.identity
-        silence = now - max(state.last_heard or 0.0, state.last_probe)
-        if state.health.is_open() and silence > longest:
+        silence = now - max(state.last_response_at or 0.0, state.last_probe_at)
+        if state.health.accepts_traffic() and silence > longest:
             best, longest = state.identity, silence
     return best
--- a/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
+++ b/packages/hingesill-core/hingesill_core/routing/limitedwaiting.py
@@ -1,22 +1,22 @@
-"""Requests that wait for replies while endpoints of their service are in need."""
+"""Requests that wait for load replies while endpoints are rate-limited."""
 
 __all__ = ["LimitedWaiting"]
 
 # Time for which a request waits for endpoints without a limit, in seconds.
-PATIENCE_SECONDS = 0.03
+UNLIMITED_WAIT_SECONDS = 0.03
 # Time for which a late request waits for a limited endpoint, in seconds.
-SOON_SECONDS = 0.05
+LATE_WAIT_SECONDS = 0.05
 
 
 class LimitedWaiting:
-    """Has grants asked for, and tells which requests will get none in time.
+    """Requests grants, and lists the waiting requests that will get none in time.
 
     Parameters
     ----------
     binding : LateBinding
-        Its waiting requests are read; hedges are no reason to ask.
+        Its waiting requests are read; hedges need no grants here.
     requests : LimitedRequests
-        Of the service.
+        Requests of the service that need grants.
     """
 
     def __init__(self, binding, requests):
@@ -25,12 +25,12 @@
         self._grant_client = binding.limits.grant_client
 
     def admit(self, ticket, now):
-        """Take note of a request that begins to wait; tell whether it may.
+        """Record a request that begins to wait; return whether it may wait.
 
         Notes
         -----
-        It may if grants are there or may come. Where a less urgent one is to go in its
-        place, that is refused with the next round.
+        It may wait if grants are available or can arrive in time. If it supersedes a
+        less urgent request, that one is refused in the next round.
         """
         self._grant_client.request_trial_grant(now)
         if not self._requests.needs_grant(ticket.route, now):
@@ -40,29 +40,31 @@
         return ticket not in self.list_surplus(now)
 
     def want_grants(self, now):
-        """Have grants asked for, for requests that endpoints without a need leave."""
+        """Request grants for requests that endpoints without a limit do not serve."""
         waiting = self._list_waiting()
         routes = {item.ticket.route for item in waiting}
-        short = {r for r in routes if self._requests.needs_grant(r, now)}
-        patient_since = now - PATIENCE_SECONDS
+        blocked_routes = {r for r in routes if self._requests.needs_grant(r, now)}
+        waiting_since = now - UNLIMITED_WAIT_SECONDS
         needing = sum(
-            item.since <= patient_since or item.ticket.route in short
+            item.since <= waiting_since or item.ticket.route in blocked_routes
             for item in waiting
         )
-        patience = max((item.late_at - now for item in waiting), default=0.0)
-        self._grant_client.request_grants(needing, max(patience, SOON_SECONDS), now)
+        max_wait = max((item.late_at - now for item in waiting), default=0.0)
+        self._grant_client.request_grants(
+            needing, max(max_wait, LATE_WAIT_SECONDS), now
+        )
 
     def list_surplus(self, now):
         """Return the waiting tickets that will get no grant in time.
 
         Notes
         -----
-        What the endpoints take is given to requests that can still meet their targets;
-        those that can't are served by what is there now, or refused at once.
+        The capacity of limited endpoints goes to requests that can still meet their
+        targets; late ones use current grants only, or are refused immediately.
         """
         waiting = self._list_waiting()
         waiting.sort(key=lambda item: item.get_order(now))
-        soon = now + SOON_SECONDS
+        soon = now + LATE_WAIT_SECONDS
         items = [(i.ticket, min(i.until, max(i.late_at, soon))) for i in waiting]
         return self._requests.list_surplus(items, now)
 
--- a/packages/hingesill-core/hingesill_core/routing/selection.py
+++ b/packages/hingesill-core/hingesill_core/routing/selection.py
@@ -55,7 +55,7 @@
         next round is milliseconds away.
         """
         near = [state for state in candidates if state.is_near]
-        is_local_only = is_first and len(near) >= self.rules.many_near
+        is_local_only = is_first and len(near) >= self.rules.min_local
         near_count = min(len(near), max(0, count - (not is_local_only)))
         pick = self._pick_connected if is_first else self._pick
         chosen = pick(near, near_count, now)
@@ -94,13 +94,13 @@
     def _was_slow(self, state, now):
         """Return whether an endpoint's last report is recent and shows slow work."""
         report = state.report
-        if report is None or now - report.received_at > self.rules.slow_holds:
+        if report is None or now - report.received_at > self.rules.slow_report_seconds:
             return False
         return report.slowness >= self.get_max_slowness()
 
     def get_max_slowness(self):
         """Return the slowness from which an endpoint is excluded."""
-        return self.rules.most_slowness * max(1.0, self.slowness.value)
+        return self.rules.max_slowness * max(1.0, self.slowness.value)
 
     def list_candidates(self, now, routes):
         """Return the endpoints to query, without recently queried ones if possible.
@@ -114,10 +114,11 @@
         """
         eligible = [s for s in self.dispatcher.states.values() if can_get_work(s, now)]
         if all(route.homes for route in routes):
-            eligible = [s for s in eligible if any(map(s.is_home_of, routes))]
-        recently = now - self.rules.selective
+            eligible = [s for s in eligible if any(map(s.serves_route, routes))]
+        recently = now - self.rules.selective_seconds
         for keep in (
-            lambda s: s.reach.is_open() or s.reach.is_trial_due(now),
+            lambda s: s.query_health.accepts_traffic()
+            or s.query_health.is_trial_due(now),
             lambda s: s.queried_at < recently,
         ):
             eligible = [state for state in eligible if keep(state)] or eligible
@@ -133,4 +134,4 @@
     """Return whether an endpoint may receive requests, as far as known."""
     if not takes_work(state, now) or not state.is_within_limit(now):
         return False
-    return state.health.is_open() or state.health.is_trial_due(now)
+    return state.health.accepts_traffic() or state.health.is_trial_due(now)
