--- a/packages/hingesill-core/hingesill_core/limits/elapsedtime.py
+++ b/packages/hingesill-core/hingesill_core/limits/elapsedtime.py
@@ -41,9 +41,9 @@
     ----------
     longest : dict
         Seconds by route; the longest time that a caller declared recently.
-    least : Quantile
+    first_attempt_share : Quantile
         Share of the longest time that nearly all first attempts declare.
-    learns_from : float
+    learning_from : float
         Seconds of the node's clock from which the share is updated.
     """
 
--- a/packages/hingesill-core/hingesill_core/limits/latency.py
+++ b/packages/hingesill-core/hingesill_core/limits/latency.py
@@ -60,7 +60,7 @@
         ----------
         ahead : int
             Requests served before it.
-        places : int
+        capacity : int
             Sends that may be in flight at once.
         """
         if capacity <= 0:
--- a/packages/hingesill-core/hingesill_core/limits/shares.py
+++ b/packages/hingesill-core/hingesill_core/limits/shares.py
@@ -30,7 +30,7 @@
     ----------
     endpoint : Endpoint
         Its slots and connections are read.
-    places : int
+    declared : int
         Limit declared by the operator; 0 to compute it.
     nodes, fleet_limit : int
         Number of live nodes, and the most that ever run at once.
--- a/packages/hingesill-core/hingesill_core/limits/tests/test_elapsedtime.py
+++ b/packages/hingesill-core/hingesill_core/limits/tests/test_elapsedtime.py
@@ -13,7 +13,7 @@
 
     Parameters
     ----------
-    least_share : float
+    min_share : float
         Minimum share of each route's time that first attempts declare.
     """
     rng = random.Random(seed)
--- a/packages/hingesill-core/hingesill_core/probing/tests/test_probetarget.py
+++ b/packages/hingesill-core/hingesill_core/probing/tests/test_probetarget.py
@@ -23,9 +23,9 @@
         self.dispatcher.find_state(send).finish(send)
         return choose_probe_target(self.dispatcher, now)
 
-    def record(self, rest, leaving, now):
+    def record(self, backoff, leaving, now):
         for address in ADDRESSES[1:]:
-            self.dispatcher.service_availability.note(address, 0, rest, leaving, now)
+            self.dispatcher.service_availability.note(address, 0, backoff, leaving, now)
 
     def test_an_endpoint_in_backoff_is_not_probed(self):
         self.record(RequestedBackoff(30.0), False, 10.0)
--- a/packages/hingesill-core/hingesill_core/retries/budget.py
+++ b/packages/hingesill-core/hingesill_core/retries/budget.py
@@ -41,7 +41,7 @@
 
         Parameters
         ----------
-        keep : float
+        reserve : float
             Tokens reserved for more important sends.
         """
         if self.tokens < 1.0 + reserve:
--- a/packages/hingesill-core/hingesill_core/retries/decision.py
+++ b/packages/hingesill-core/hingesill_core/retries/decision.py
@@ -42,7 +42,7 @@
     ----------
     ticket : Ticket
         The request, marked by `mark_may_have_run`.
-    end : SendStatus
+    status : SendStatus
         Status of its last send.
     budget : TokenBudget
         The service's budget of retries.
--- a/packages/hingesill-core/hingesill_core/routing/concurrencylevels.py
+++ b/packages/hingesill-core/hingesill_core/routing/concurrencylevels.py
@@ -11,9 +11,9 @@
 from msgspec import Struct
 
 __all__ = [
-    "MIN_ANSWERS",
     "HALF_LIFE_SECONDS",
     "MAX_ANSWERS",
+    "MIN_ANSWERS",
     "ConcurrencyLevel",
     "combine",
     "find_concurrency_limit",
--- a/packages/hingesill-core/hingesill_core/routing/profile.py
+++ b/packages/hingesill-core/hingesill_core/routing/profile.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, field
 
-__all__ = ["LevelProfile", "Profile", "ServiceProfile", "BaselineLatency"]
+__all__ = ["BaselineLatency", "LevelProfile", "Profile", "ServiceProfile"]
 
 
 class LevelProfile(Struct, frozen=True):
--- a/packages/hingesill-core/hingesill_core/routing/retryhandler.py
+++ b/packages/hingesill-core/hingesill_core/routing/retryhandler.py
@@ -32,21 +32,21 @@
             count, which is a ``DENIED`` one with a Refusal.
         """
         p10 = self._dispatcher.get_latency(ticket.route).p10
-        reason = decide_retry(ticket, status, self._dispatcher.retries, now, p10)
-        if isinstance(reason, RetryDenied):
-            return self._refuse(ticket, status, now), reason.reason
+        retry = decide_retry(ticket, status, self._dispatcher.retries, now, p10)
+        if isinstance(retry, RetryDenied):
+            return self._refuse(ticket, status, now), retry.reason
         query = self._dispatcher.begin_queries(ticket, now)
         if isinstance(query, Refusal):
             return self._refuse_without_endpoint(ticket, status, now)
         if query is not None:
-            return query, reason
+            return query, retry
         send = self._dispatcher.assign(ticket, now)
         if send is not None:
-            return send, reason
+            return send, retry
         decision = self._dispatcher.queue_or_refuse(ticket, now)
         if isinstance(decision, Refusal):
             return self._refuse_without_endpoint(ticket, status, now)
-        return decision, reason
+        return decision, retry
 
     def _refuse_without_endpoint(self, ticket, status, now):
         """Return the Refusal of a request without another eligible endpoint."""
--- a/packages/hingesill-core/hingesill_core/routing/tests/simulatednode.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/simulatednode.py
@@ -1,4 +1,4 @@
-"""A node of a played load: a real dispatcher, and what green threads would do."""
+"""A simulated node: a real dispatcher, driven in place of green threads."""
 
 import random
 
@@ -27,30 +27,30 @@
 
 
 class Attempt(Struct, eq=False):
-    """One try of a request at one node."""
+    """One attempt of a request at one node."""
 
     request: Request
     ticket: Ticket
-    live: list = field(default_factory=list)
+    in_flight: list = field(default_factory=list)
     sends: int = 0
     is_open: bool = True
 
 
 class SimulatedNode:
-    """A node: its dispatcher, and what its green threads would do."""
+    """A node: its dispatcher, and the calls that its green threads would make."""
 
-    def __init__(self, play, number):
-        load = play.load
-        self.play = play
+    def __init__(self, simulation, number):
+        workload = simulation.workload
+        self.simulation = simulation
         self.data_centre = f"dc{number % DATA_CENTRES}"
-        fleet = FleetView(self.data_centre, load.nodes, 2 * load.nodes, number)
-        rng = random.Random(play.rng.random())
+        fleet = FleetView(self.data_centre, workload.nodes, 2 * workload.nodes, number)
+        rng = random.Random(simulation.rng.random())
         self.fleet_limits = None
-        if play.names_limits:
+        if simulation.has_rate_limits:
             self.fleet_limits = FleetLimits(random.Random(number))
-        limits = self.fleet_limits and self.fleet_limits.get(play.service.name)
+        limits = self.fleet_limits and self.fleet_limits.get(simulation.service.name)
         self.dispatcher = Dispatcher(
-            play.service, fleet, rng, QueryBudget(), limits=limits
+            simulation.service, fleet, rng, QueryBudget(), limits=limits
         )
         self.elapsed = ElapsedTimeEstimator()
         self.attempts = {}
@@ -59,147 +59,156 @@
 
     @property
     def slots(self):
-        """What it knows of the endpoints' slots."""
+        """The node's ConcurrencyModel."""
         return self.dispatcher.binding.slots
 
     def submit(self, request):
-        """Take a caller's try."""
-        now = self.play.now
+        """Accept an attempt of a caller."""
+        now = self.simulation.now
         route = request.kind.route
         left = request.deadline - now
         elapsed = self.elapsed.estimate(route, left, now)
         deadline = now + min(left, route.timeout)
         ticket = Ticket(route, now, deadline, elapsed=elapsed)
         attempt = self.attempts[ticket] = Attempt(request, ticket)
-        self.play.after(deadline - now, self._expire, attempt)
-        self._act(attempt, self.dispatcher.submit(ticket, now))
+        self.simulation.schedule(deadline - now, self._expire, attempt)
+        self._apply(attempt, self.dispatcher.submit(ticket, now))
 
-    def _act(self, attempt, decision):
+    def _apply(self, attempt, decision):
         if isinstance(decision, LoadQuery):
-            self._ask(decision)
+            self._query(decision)
         elif isinstance(decision, Refusal):
             self._refuse(attempt, decision)
         else:
             self._start(attempt, decision)
 
-    def _ask(self, ask):
-        for identity in ask.endpoints:
-            endpoint = self.play.endpoints[identity]
-            way = self.play.get_way(self, endpoint)
-            self.play.after(way + PROBE_SECONDS, self._look_at, endpoint, way)
+    def _query(self, query):
+        for identity in query.endpoints:
+            endpoint = self.simulation.endpoints[identity]
+            delay = self.simulation.get_network_delay(self, endpoint)
+            self.simulation.schedule(
+                delay + PROBE_SECONDS, self._query_endpoint, endpoint, delay
+            )
         if not self.is_ticking:
             self.is_ticking = True
-            self.play.after(ROUND_SECONDS, self._tick)
+            self.simulation.schedule(ROUND_SECONDS, self._tick)
 
-    def _look_at(self, endpoint, way):
+    def _query_endpoint(self, endpoint, delay):
         reply = LoadReply(
             endpoint.identity,
             SendStatus.ANSWERED,
             endpoint.report(),
             endpoint.get_warm_in(),
             endpoint.is_unhealthy(),
-            limit=endpoint.name_limit(),
-            sent_at=self.play.now - way - PROBE_SECONDS,
+            limit=endpoint.get_reported_limit(),
+            sent_at=self.simulation.now - delay - PROBE_SECONDS,
         )
-        self.play.after(way, self._take, reply)
+        self.simulation.schedule(delay, self._handle_reply, reply)
 
-    def _take(self, reply):
+    def _handle_reply(self, reply):
         if not self.is_alive:
             return
-        send = self.dispatcher.binding.take(reply, self.play.now)
+        send = self.dispatcher.binding.take(reply, self.simulation.now)
         if send is not None:
             self._start(self.attempts[send.ticket], send)
 
     def _tick(self):
-        """Give up on requests in time, and ask again for those that wait."""
+        """Expire queued requests, and query again for the others."""
         if not self.is_alive:
             return
-        now = self.play.now
+        now = self.simulation.now
         binding = self.dispatcher.binding
         for ticket, decision in binding.expire(now):
             attempt = self.attempts[ticket]
-            if attempt.live:
+            if attempt.in_flight:
                 self.dispatcher.hedging.end(ticket)
             else:
-                self._act(attempt, decision)
-        ask = binding.next_query(now)
+                self._apply(attempt, decision)
+        query = binding.next_query(now)
         self.is_ticking = bool(binding.waiting)
-        if ask is not None:
+        if query is not None:
             self.is_ticking = True
-            self._ask(ask)
+            self._query(query)
         if self.is_ticking:
-            self.play.after(ROUND_SECONDS, self._tick)
+            self.simulation.schedule(ROUND_SECONDS, self._tick)
 
     def _start(self, attempt, send):
-        endpoint = self.play.endpoints[send.endpoint]
-        attempt.live.append(send)
+        endpoint = self.simulation.endpoints[send.endpoint]
+        attempt.in_flight.append(send)
         attempt.sends += 1
-        self.play.note_send(is_extra=attempt.sends > 1)
-        self.play.after(self.play.get_way(self, endpoint), endpoint.arrive, self, send)
+        self.simulation.record_send(is_extra=attempt.sends > 1)
+        self.simulation.schedule(
+            self.simulation.get_network_delay(self, endpoint),
+            endpoint.arrive,
+            self,
+            send,
+        )
         if attempt.ticket.route.repeatable:
             overdue = self.dispatcher.hedging.get_overdue_time(send)
-            self.play.after(overdue, self._hedge, attempt, send)
+            self.simulation.schedule(overdue, self._hedge, attempt, send)
 
     def _hedge(self, attempt, send):
-        """Try a second send while the last one has no answer."""
-        if not self.is_alive or not attempt.is_open or attempt.live[-1:] != [send]:
+        """Try a hedge while the last send has no answer."""
+        if not self.is_alive or not attempt.is_open or attempt.in_flight[-1:] != [send]:
             return
         hedging = self.dispatcher.hedging
-        now = self.play.now
+        now = self.simulation.now
         decision = hedging.start(attempt.ticket, now)
         if isinstance(decision, LoadQuery):
-            self._ask(decision)
+            self._query(decision)
         elif isinstance(decision, Send):
             self._start(attempt, decision)
-        again = hedging.get_next_try(attempt.ticket, now)
-        if again < attempt.ticket.deadline:
-            self.play.after(again - now, self._hedge, attempt, send)
+        next_try = hedging.get_next_try(attempt.ticket, now)
+        if next_try < attempt.ticket.deadline:
+            self.simulation.schedule(next_try - now, self._hedge, attempt, send)
 
     def end(self, send, result):
-        """Take the end of a send."""
+        """Handle the end of a send."""
         attempt = self.attempts.get(send.ticket)
-        if not self.is_alive or attempt is None or send not in attempt.live:
+        if not self.is_alive or attempt is None or send not in attempt.in_flight:
             return
-        attempt.live.remove(send)
-        now = self.play.now
-        named = self.play.endpoints[send.endpoint].name_limit()
-        self.dispatcher.record_limit(send, named, now)
+        attempt.in_flight.remove(send)
+        now = self.simulation.now
+        limit = self.simulation.endpoints[send.endpoint].get_reported_limit()
+        self.dispatcher.record_limit(send, limit, now)
         self.dispatcher.settle(send, result, now)
         if result.end is SendStatus.ANSWERED:
             self._close(attempt)
-            self.play.answer(attempt.request)
-            self._take(LoadReply(send.endpoint, SendStatus.ANSWERED, result.report))
-        elif not attempt.live:
+            self.simulation.answer(attempt.request)
+            self._handle_reply(
+                LoadReply(send.endpoint, SendStatus.ANSWERED, result.report)
+            )
+        elif not attempt.in_flight:
             self.dispatcher.binding.leave(attempt.ticket)
             decision, _ = self.dispatcher.retry(attempt.ticket, result.end, now)
-            self._act(attempt, decision)
+            self._apply(attempt, decision)
 
     def _refuse(self, attempt, refusal):
-        self.elapsed.record_unserved(self.play.now)
+        self.elapsed.record_unserved(self.simulation.now)
         self._close(attempt)
-        self.play.refuse(attempt, refusal)
+        self.simulation.refuse(attempt, refusal)
 
     def _expire(self, attempt):
-        """End a try whose time is over."""
+        """End an attempt at its deadline."""
         if self.is_alive and attempt.is_open:
-            self.elapsed.record_unserved(self.play.now)
+            self.elapsed.record_unserved(self.simulation.now)
             self._close(attempt, SendStatus.LATE)
-            self.play.refuse(attempt, None)
+            self.simulation.refuse(attempt, None)
 
     def _close(self, attempt, end=SendStatus.CANCELLED):
-        """Cancel what is still under way."""
+        """Cancel the sends in flight."""
         attempt.is_open = False
         self.dispatcher.binding.leave(attempt.ticket)
-        for send in attempt.live:
-            self.play.endpoints[send.endpoint].cancel(send)
-            self.dispatcher.settle(send, SendResult(end), self.play.now)
-        attempt.live.clear()
+        for send in attempt.in_flight:
+            self.simulation.endpoints[send.endpoint].cancel(send)
+            self.dispatcher.settle(send, SendResult(end), self.simulation.now)
+        attempt.in_flight.clear()
         self.attempts.pop(attempt.ticket, None)
 
     def stop(self):
-        """End at once, as without power."""
+        """Stop at once, as on a power failure."""
         self.is_alive = False
         for attempt in list(self.attempts.values()):
-            for send in attempt.live:
-                self.play.endpoints[send.endpoint].cancel(send)
-            self.play.lose(attempt.request)
+            for send in attempt.in_flight:
+                self.simulation.endpoints[send.endpoint].cancel(send)
+            self.simulation.handle_node_loss(attempt.request)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
@@ -34,17 +34,17 @@
     def submit(self, now=0.0):
         self.dispatcher.submit(Ticket(ROUTE, now, now + 2.0), now)
 
-    def test_a_request_that_just_came_looks_for_a_warm_one(self):
+    def test_a_new_request_waits_for_a_warm_endpoint(self):
         self.submit()
         self.assertIsNone(self.binding.take(reply("i1", 0, 2.0), 0.01))
         self.assertIsInstance(self.binding.take(reply("i2", 0, 0.0), 0.01), Send)
 
-    def test_one_that_found_none_takes_a_cold_one_without_work(self):
+    def test_a_waiting_request_uses_an_idle_cold_endpoint(self):
         self.submit()
         self.assertIsNone(self.binding.take(reply("i1", 1, 2.0), 0.05))
         self.assertIsInstance(self.binding.take(reply("i1", 0, 2.0), 0.05), Send)
 
-    def test_a_node_alone_keeps_to_the_rate(self):
+    def test_a_single_node_stays_within_the_rate(self):
         sent = 0
         for turn in range(100):
             now = turn * 0.02
@@ -57,12 +57,12 @@
                 )
         self.assertIn(sent, range(1, 7))
 
-    def test_an_answer_does_not_tell_that_it_is_warm(self):
+    def test_an_answer_does_not_report_the_endpoint_as_warm(self):
         self.binding.take(reply("i1", 0, 2.0), 0.0)
         self.submit()
         self.assertIsNone(self.binding.take(reply("i1", 1, None), 0.05))
 
-    def test_an_old_word_on_its_warmth_is_none(self):
+    def test_an_expired_warm_up_report_is_ignored(self):
         self.binding.take(reply("i1", 0, 0.0), 0.0)
         late = REPORT_TTL_SECONDS + 0.1
         self.submit(late)
@@ -75,13 +75,13 @@
         self.assertIsInstance(dispatcher.binding.take(reply("i1", 0, 2.0), 0.01), Send)
 
 
-class UnaskedTests(unittest.TestCase):
-    """Endpoints that tell no load; their entries say how long they are cold."""
+class WithoutQueryTests(unittest.TestCase):
+    """Endpoints that report no load; their entries state how long they are cold."""
 
     NODES = 5
     SECONDS = 60.0
 
-    def test_nodes_keep_to_their_parts_and_use_them(self):
+    def test_nodes_use_their_shares_and_stay_within_them(self):
         rng = random.Random(1)
         limits = [WarmUpLimit(rate=RATE, nodes=self.NODES) for _ in range(self.NODES)]
         states = [EndpointState("i1") for _ in limits]
@@ -100,13 +100,13 @@
         self.assertTrue(limits[0].allows_without_query(states[0], late, rng))
 
 
-class RestTests(unittest.TestCase):
-    """Callers rest, and then one comes to each node of a large fleet at once."""
+class IdleFleetTests(unittest.TestCase):
+    """One request arrives at each node of a large fleet after a period without load."""
 
     NODES = 95
     ALLOWED = RATE * 1.5 + 8.0
 
-    def test_what_was_not_used_is_not_saved_up(self):
+    def test_unused_capacity_is_not_saved_up(self):
         sent = 0
         for number in range(self.NODES):
             service = replace(
@@ -129,8 +129,8 @@
     ENDPOINTS = 19
     SECONDS = 20.0
 
-    def send(self, nodes, questions, seed):
-        """Return when it got requests, with so many questions a second to each."""
+    def send(self, nodes, queries, seed):
+        """Return the times of sends, with the given queries a second per endpoint."""
         rng = random.Random(seed)
         rules = {"rate": RATE, "nodes": nodes, "endpoints": self.ENDPOINTS}
         limits = [WarmUpLimit(**rules) for _ in range(nodes)]
@@ -138,7 +138,7 @@
         now = 0.0
         sent = []
         while now < self.SECONDS:
-            now += rng.expovariate(questions * self.ENDPOINTS)
+            now += rng.expovariate(queries * self.ENDPOINTS)
             number = rng.randrange(nodes)
             limits[number].record_queries(1, now)
             if rng.randrange(self.ENDPOINTS):
@@ -149,22 +149,22 @@
                 sent.append(now)
         return sent
 
-    def count_most(self, *play):
+    def count_max(self, *arguments):
         """Return the most sends in any second."""
-        sent = self.send(*play)
+        sent = self.send(*arguments)
         return max(sum(t <= other < t + 1.0 for other in sent) for t in sent)
 
-    def test_all_nodes_together_keep_to_the_bound(self):
+    def test_the_fleet_stays_within_the_limit(self):
         for nodes in (1, 3, 17, 95, 312):
-            for questions in (4.0, 38.0, 100.0):
+            for queries in (4.0, 38.0, 100.0):
                 for seed in range(3):
-                    with self.subTest(nodes=nodes, questions=questions, seed=seed):
-                        most = self.count_most(nodes, questions, seed)
-                        self.assertLessEqual(most, self.ALLOWED)
+                    with self.subTest(nodes=nodes, queries=queries, seed=seed):
+                        maximum = self.count_max(nodes, queries, seed)
+                        self.assertLessEqual(maximum, self.ALLOWED)
 
-    def test_a_good_part_of_the_bound_is_used(self):
+    def test_much_of_the_limit_is_used(self):
         for nodes in (1, 17, 95):
-            for questions in (4.0, 38.0):
-                with self.subTest(nodes=nodes, questions=questions):
-                    rate = len(self.send(nodes, questions, 1)) / self.SECONDS
+            for queries in (4.0, 38.0):
+                with self.subTest(nodes=nodes, queries=queries):
+                    rate = len(self.send(nodes, queries, 1)) / self.SECONDS
                     self.assertGreater(rate, 0.2 * RATE)
--- a/packages/hingesill-core/hingesill_core/routing/tests/workloads.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/workloads.py
@@ -1,4 +1,4 @@
-"""Loads as they are written for a play: callers, faults of endpoints, losses."""
+"""Workloads of a simulation: callers, faults of endpoints, outages."""
 
 from msgspec import Struct, field
 
@@ -13,46 +13,46 @@
     Parameters
     ----------
     route : Route
-        Its target and whether it may be repeated.
+        Its target and whether it is repeatable.
     share : float
-        Of all requests.
-    work : float
-        Mean seconds at an endpoint that has slots free.
+        Share of all requests.
+    service_time : float
+        Mean seconds at an endpoint with free slots.
     limit : float
-        Seconds that its caller gives it.
+        Seconds until its caller gives up.
     """
 
     route: Route
     share: float
-    work: float
+    service_time: float
     limit: float
 
 
 class FaultPeriod(Struct, frozen=True):
-    """What is wrong with some endpoints for a while.
+    """Faults of some endpoints for a period.
 
     Parameters
     ----------
     begin, end : float
         Seconds from the start.
     first, last : float
-        Which of the endpoints, as shares of their row.
+        Range of the affected endpoints, as shares of all.
     slowness : float
-        Work takes so many times longer, and the endpoint does not say so.
+        Factor of the service time, which the endpoint does not report.
     lost : float
-        Share of the answers that never come, though the request runs.
+        Share of the answers that never arrive, though the request is executed.
     broken : float
         Share of the answers in whose place the connection breaks.
     down : bool
-        Each request is broken off as it comes.
+        Each request fails on arrival by a broken connection.
     shed : float
         Share of the requests that are refused at once.
     cold : bool
-        They are cold, and say so to those who ask.
-    ill : bool
-        They say that they are not well.
+        The endpoints are cold, and report so in replies to load queries.
+    unhealthy : bool
+        The endpoints report that they are unhealthy.
     limit : float or None
-        Requests a second that they name as their limit.
+        Requests a second that they report as their rate limit.
     """
 
     begin: float
@@ -65,35 +65,36 @@
     down: bool = False
     shed: float = 0.0
     cold: bool = False
-    ill: bool = False
+    unhealthy: bool = False
     limit: float | None = None
 
 
 class Workload(Struct, frozen=True):
-    """A load.
+    """A workload.
 
     Parameters
     ----------
     nodes, endpoints : int
-        How many there are.
+        Their numbers.
     kinds : tuple of Kind
-        What is asked for.
+        Kinds of requests.
     rate : float
         Requests a second.
     seconds : float
-        How long requests come.
-    spells : tuple of Spell
-        What is wrong with endpoints.
+        Duration for which requests arrive.
+    spells : tuple of FaultPeriod
+        Faults of endpoints.
     bursts : tuple of tuple
-        Begin, end and factor of times with more requests, or fewer.
+        Begin, end and factor of periods with more requests, or fewer.
     outages : tuple of tuple
-        Begin and end of times without any node; the nodes know nothing afterwards.
-    impatient : float
-        Share of the callers that repeat at once, whatever they are told.
-    least_time : float
-        Callers bring this share of their kind's time at least, at random.
+        Begin and end of periods without any node; the nodes have no state afterwards.
+    impatient_share : float
+        Share of the callers that retry at once, regardless of Retry-After.
+    min_time_share : float
+        Minimum share of their kind's time that callers declare, at random.
     warm_up_rate : float
-        Requests a second that a cold endpoint bears; 0 if the operator declared none.
+        Requests a second that a cold endpoint can serve; 0 if the operator declared
+        none.
     sends : SendBudget
         Extra sends of the fleet.
     """
@@ -106,36 +107,36 @@
     spells: tuple = ()
     bursts: tuple = ()
     outages: tuple = ()
-    impatient: float = 0.0
-    least_time: float = 1.0
+    impatient_share: float = 0.0
+    min_time_share: float = 1.0
     warm_up_rate: float = 0.0
     sends: SendBudget = SendBudget(0.0, 0.15, 344.0)
 
     def get_factor(self, now):
-        """Return how many times more requests come at a time."""
+        """Return the factor of the request rate at a time."""
         for begin, end, factor in self.bursts:
             if begin <= now < end:
                 return factor
         return 1.0
 
     def is_out(self, now):
-        """Tell whether there are no nodes at a time."""
+        """Return whether there are no nodes at a time."""
         return any(begin <= now < end for begin, end in self.outages)
 
 
 class Request(Struct, eq=False):
-    """A caller's request over all its tries.
+    """A caller's request over all its attempts.
 
     Attributes
     ----------
     time : float
-        Seconds that the caller gives it.
+        Seconds until the caller gives up.
     answered_at : float or None
-        When the answer came.
+        Time of the answer.
     refusals : list
         Seconds that a node held the request before each refusal.
-    tries : int
-        So far.
+    attempts : int
+        Attempts so far.
     """
 
     kind: Kind
@@ -144,15 +145,15 @@
     time: float
     answered_at: float | None = None
     refusals: list = field(default_factory=list)
-    tries: int = 0
+    attempts: int = 0
 
     @property
     def deadline(self):
-        """When the caller gives up."""
+        """Time at which the caller gives up."""
         return self.sent_at + self.time
 
     def is_in_time(self):
-        """Tell whether the answer met the target, counted from the first try."""
+        """Return whether the answer met the target, counted from the first attempt."""
         if self.answered_at is None:
             return False
         return self.answered_at - self.sent_at <= self.kind.route.target
--- a/packages/hingesill-core/hingesill_core/routing/warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/warmup.py
@@ -103,14 +103,12 @@
 
     def _get_share(self, now):
         """Return the share of the opportunities that this node may use."""
-        queries_per_second = (
-            self._count_queries(now) / self.endpoints / QUERY_WINDOW_SECONDS
-        )
+        query_rate = self._count_queries(now) / self.endpoints / QUERY_WINDOW_SECONDS
         return min(
             1.0,
             TARGET_SHARE
             * self.rate
-            / (self.nodes * max(queries_per_second, MIN_QUERIES_PER_SECOND)),
+            / (self.nodes * max(query_rate, MIN_QUERIES_PER_SECOND)),
         )
 
     def allows_without_query(self, state, now, rng):
