--- a/packages/hingesill-core/hingesill_core/limits/elapsedtime.py
+++ b/packages/hingesill-core/hingesill_core/limits/elapsedtime.py
@@ -59,25 +59,25 @@
         """Record, in seconds of the node's clock, that a caller got no answer."""
         self.learning_from = now + RETRY_PAUSE_SECONDS
 
-    def estimate(self, route, left, now):
+    def estimate(self, route, remaining, now):
         """Return the estimated seconds that a caller spent on earlier attempts.
 
         Parameters
         ----------
         route : Route
             Route of the request.
-        left : float
+        remaining : float
             Remaining seconds that the caller declared.
         now : float
             Seconds of the node's clock.
         """
         is_learning = now >= self.learning_from
         decay = 1 - DECAY_PER_REQUEST if is_learning else 1.0
-        longest = max(left, self.longest.get(route, 0.0) * decay)
+        longest = max(remaining, self.longest.get(route, 0.0) * decay)
         self.longest[route] = longest
         if not longest:
             return 0.0
-        declared_share = left / longest
+        declared_share = remaining / longest
         if is_learning and declared_share >= MIN_FIRST_ATTEMPT_SHARE:
             self.first_attempt_share.record(declared_share)
-        return max(0.0, min(1.0, self.first_attempt_share.value) * longest - left)
+        return max(0.0, min(1.0, self.first_attempt_share.value) * longest - remaining)
