--- a/packages/hingesill-node/hingesill_node/datapath/__init__.py
+++ b/packages/hingesill-node/hingesill_node/datapath/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request: accepted, routed, sent, answered."""
+"""The data path of requests: accept, route, send and answer them."""
--- a/packages/hingesill-node/hingesill_node/datapath/application.py
+++ b/packages/hingesill-node/hingesill_node/datapath/application.py
@@ -1,4 +1,4 @@
-"""The WSGI application: a caller's request in, its final answer out."""
+"""The WSGI application that handles callers' requests."""
 
 import random
 import time
@@ -7,7 +7,7 @@
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.routing.messages import Refusal, Ticket
 from hingesill_node.blackboard import Phase
-from hingesill_node.datapath.bodies import BegunBody, CountedBody, LimitedBody
+from hingesill_node.datapath.bodies import CountedBody, LimitedBody, PrefixedBody
 from hingesill_node.datapath.exchange import Exchange
 from hingesill_node.datapath.framing import find_framing_fault
 from hingesill_node.datapath.headers import (
@@ -15,35 +15,35 @@
     filter_headers,
 )
 from hingesill_node.datapath.messages import Body, CallerRequest
-from hingesill_node.datapath.refusals import is_sound_id
+from hingesill_node.datapath.refusals import is_valid_request_id
 from hingesill_node.datapath.wire import OwnFormat
 from hingesill_node.telemetry.events import Event, log_event
 
 __all__ = ["Application", "PROTOCOL_KEY"]
 
 PROTOCOL_KEY = "hingesill.protocol"
-WHOLE_BODY_BYTES = 64 * 1024
-# Characters of a request's host and target in its line in the log.
-LONGEST_TARGET = 200
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
+# Characters of the host and target that are written to the log.
+MAX_LOGGED_TARGET_LENGTH = 200
 
 
 class Application:
-    """Answers every request that reaches the node's address.
+    """WSGI application for all requests to the callers' address of the node.
 
     Parameters
     ----------
     blackboard : Blackboard
-        Configuration and phase of the node.
+        Configuration, phase and number of requests in flight of the node.
     runners : RunnerTable
-        The services.
+        The runners of the services.
     counters : Counters
-        Takes each outcome and reason.
+        Counts the outcomes and reasons of requests.
     max_body_bytes : int
-        Longest body that is passed on.
+        Maximum size of a request body.
     wire : OwnFormat or None
-        The dialect; hingesill's own if None.
+        The HTTP dialect; `OwnFormat` if None.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
             body = self._handle(environ, start_response)
         except Exception as error:
             self.blackboard.in_flight -= 1
-            return self._answer_fault(environ, start_response, error)
+            return self._answer_internal_error(environ, start_response, error)
         if isinstance(body, list):
             self.blackboard.in_flight -= 1
             return body
@@ -94,23 +94,23 @@
             self.runners.get(service), request, self.counters, self.wire, self.clock
         )
         answer = exchange.run()
-        self._log_end(request, service, exchange.story, answer)
+        self._log_request(request, service, exchange.story, answer)
         if isinstance(answer, Refusal):
             return self._refuse(environ, start_response, answer, request_id, service)
         self.counters.add("requests", service, Outcome.ANSWERED.value)
-        return self._pass_answer(environ, start_response, request, exchange, answer)
+        return self._forward_answer(environ, start_response, request, exchange, answer)
 
-    def _log_end(self, request, service, story, answer):
-        """Write the request's line: what was decided, by what, and how it ended."""
+    def _log_request(self, request, service, story, answer):
+        """Log the outcome of a request and the steps that led to it."""
         ticket = request.ticket
         seconds = self.clock() - ticket.arrived
         refused = isinstance(answer, Refusal)
         target = ticket.route.target or ticket.route.timeout
         if not refused:
             self.counters.latencies[service].note(seconds)
-        plain = not refused and ticket.sends <= 1 and seconds <= target
+        ordinary = not refused and ticket.sends <= 1 and seconds <= target
         log_event(
-            Event.REQUEST_ANSWERED if plain else Event.REQUEST_IN_TROUBLE,
+            Event.REQUEST_ANSWERED if ordinary else Event.REQUEST_IN_TROUBLE,
             request=request.request_id,
             service=service,
             version=self.blackboard.configuration.revision,
@@ -122,11 +122,11 @@
             sends=ticket.sends,
             steps=[str(step) for step in story.steps],
             steps_left_out=story.left_out,
-            **describe_lost(request, story),
+            **describe_lost_request(request, story),
         )
 
     def _build_request(self, environ, request_id):
-        """Return the CallerRequest, or the Refusal of one that cannot be taken."""
+        """Return the CallerRequest, or a Refusal if the request is not acceptable."""
         if find_framing_fault(environ) is not None:
             return Refusal(RefusalReason.BAD_FRAMING, Outcome.NOT_RUN)
         configuration = self.blackboard.configuration
@@ -134,13 +134,13 @@
         host = environ.get("HTTP_HOST", "")
         route = configuration.routes.find(environ["REQUEST_METHOD"], path, host)
         if route is None:
-            return self._explain_no_route(configuration)
+            return self._refuse_unrouted(configuration)
         try:
-            left = self.wire.read_time_left(environ)
+            remaining = self.wire.read_time_left(environ)
         except ValueError:
             return Refusal(RefusalReason.BAD_HEADER, Outcome.NOT_RUN)
-        limit = route.timeout if left is None else min(left, route.timeout)
-        if not is_sound_id(request_id):
+        limit = route.timeout if remaining is None else min(remaining, route.timeout)
+        if not is_valid_request_id(request_id):
             return Refusal(RefusalReason.BAD_HEADER, Outcome.NOT_RUN)
         if limit == 0:
             return Refusal(RefusalReason.DEADLINE_PASSED, Outcome.NOT_RUN)
@@ -155,7 +155,9 @@
             arrived + limit,
             may_retry=self.wire.may_retry(environ),
             elapsed=(
-                0.0 if left is None else self.elapsed.estimate(route, left, arrived)
+                0.0
+                if remaining is None
+                else self.elapsed.estimate(route, remaining, arrived)
             ),
         )
         return CallerRequest(
@@ -170,40 +172,41 @@
             environ.get("REMOTE_ADDR", ""),
         )
 
-    def _explain_no_route(self, configuration):
+    def _refuse_unrouted(self, configuration):
         if configuration.revision == 0:
             reason = RefusalReason.NO_CONFIGURATION
             return Refusal(reason, Outcome.NOT_RUN, retry_after=1.0)
         return Refusal(RefusalReason.NO_ROUTE, Outcome.NOT_RUN)
 
     def _read_body(self, environ):
-        """Return the Body, or the Refusal of one that is too long or ends early."""
+        """Return the Body, or a Refusal if it is too long or incomplete."""
         source = environ["wsgi.input"]
         length = environ.get("CONTENT_LENGTH")
         if length is None and "HTTP_TRANSFER_ENCODING" not in environ:
             return Body(b"", 0)
         if length is not None and int(length) > self.max_body_bytes:
             return Refusal(RefusalReason.BODY_TOO_LARGE, Outcome.NOT_RUN)
-        if length is not None and int(length) <= WHOLE_BODY_BYTES:
+        if length is not None and int(length) <= MAX_BUFFERED_BODY_BYTES:
             return self._read_whole(source, int(length))
-        return self._read_beginning(source, None if length is None else int(length))
+        return self._read_prefix(source, None if length is None else int(length))
 
-    def _read_beginning(self, source, length):
-        """Return the Body of which only the beginning is read, unless it is all.
+    def _read_prefix(self, source, length):
+        """Read the beginning of a long or chunked body and return the Body.
 
         Notes
         -----
-        By its beginning a request is told from others of the same caller and target,
-        before it is sent. What came in chunks and is short can be sent again.
+        The fingerprints of a request include the beginning of its body, so it is read
+        before the request is sent. A chunked body that fits into the buffer is kept
+        whole and can be sent again.
         """
         limited = LimitedBody(source, self.max_body_bytes)
         try:
-            beginning = limited.read(WHOLE_BODY_BYTES)
+            beginning = limited.read(MAX_BUFFERED_BODY_BYTES)
         except (OSError, ValueError):
             return Refusal(RefusalReason.CALLER_GONE, Outcome.NOT_RUN)
-        if length is None and len(beginning) < WHOLE_BODY_BYTES:
+        if length is None and len(beginning) < MAX_BUFFERED_BODY_BYTES:
             return Body(beginning, len(beginning))
-        return Body(None, length, BegunBody(beginning, limited), beginning)
+        return Body(None, length, PrefixedBody(beginning, limited), beginning)
 
     def _read_whole(self, source, length):
         try:
@@ -214,23 +217,23 @@
             return Refusal(RefusalReason.CALLER_GONE, Outcome.NOT_RUN)
         return Body(data, length)
 
-    def _pass_answer(self, environ, start_response, request, exchange, answer):
+    def _forward_answer(self, environ, start_response, request, exchange, answer):
         headers = list(filter_headers(answer.headers, self.answer_drops))
         headers.extend(self.wire.build_answer_headers(request.request_id))
-        self._announce_end(environ)
+        self._close_if_stopping(environ)
         start_response(f"{answer.status} {answer.reason}", headers)
         if answer.body is not None:
             return [answer.body]
         environ["eventlet.minimum_write_chunk_size"] = 1
         return exchange.stream(answer)
 
-    def _announce_end(self, environ):
-        """Ask the caller for a new connection while the node is stopping."""
+    def _close_if_stopping(self, environ):
+        """Close the caller's connection after the response while the node stops."""
         if self.blackboard.phase is Phase.STOPPING:
             close_after_answer(environ)
 
     def _refuse(self, environ, start_response, refusal, request_id, service):
-        """Give the final answer of a request that got none from an endpoint."""
+        """Respond to a request that is refused by the node."""
         self.counters.add("refusals", service, refusal.reason.value)
         self.counters.add("requests", service, refusal.outcome.value)
         if service and refusal.reason is not RefusalReason.QUARANTINED:
@@ -239,12 +242,12 @@
         if answer.closes:
             close_after_answer(environ)
         else:
-            self._announce_end(environ)
+            self._close_if_stopping(environ)
         start_response(answer.status, answer.headers)
         return [answer.body]
 
-    def _answer_fault(self, environ, start_response, error):
-        """Answer a request that ended by a fault of the node itself."""
+    def _answer_internal_error(self, environ, start_response, error):
+        """Log an internal error and respond to the request with a refusal."""
         log_event(
             Event.REQUEST_FAULT, error=repr(error), path=environ.get("RAW_PATH_INFO")
         )
@@ -252,17 +255,17 @@
         return self._refuse(environ, start_response, refusal, "", "")
 
 
-def describe_lost(request, story):
-    """Return by what a request that lost an answer is found again in other lines."""
+def describe_lost_request(request, story):
+    """Return log fields to match a request that lost a response in other log lines."""
     if not story.has_lost:
         return {}
     return {
         "fingerprints": request.fingerprints,
         "caller": request.caller,
-        "target": f"{request.host}{request.target}"[:LONGEST_TARGET],
+        "target": f"{request.host}{request.target}"[:MAX_LOGGED_TARGET_LENGTH],
     }
 
 
 def close_after_answer(environ):
-    """Have the server end the caller's connection after this answer."""
+    """Make the server close the caller's connection after this response."""
     environ[PROTOCOL_KEY].close_connection = 1
--- a/packages/hingesill-node/hingesill_node/datapath/bodies.py
+++ b/packages/hingesill-node/hingesill_node/datapath/bodies.py
@@ -1,41 +1,41 @@
-"""Bodies on their way: bounded ones of callers, counted ones of answers."""
+"""Wrappers of request and response bodies."""
 
-__all__ = ["BegunBody", "CountedBody", "LimitedBody"]
+__all__ = ["PrefixedBody", "CountedBody", "LimitedBody"]
 
 
 class LimitedBody:
-    """A body that fails once it is longer than allowed.
+    """A request body with a maximum size.
 
     Parameters
     ----------
     source : object
-        The server's input.
+        The input stream of the server.
     limit : int
-        Bytes.
+        Maximum size in bytes.
     """
 
     def __init__(self, source, limit):
         self._source = source
-        self._left = limit
+        self._remaining = limit
 
     def read(self, size):
-        """Return up to ``size`` bytes; OSError beyond the limit."""
+        """Return up to ``size`` bytes, or raise OSError beyond the limit."""
         data = self._source.read(size)
-        self._left -= len(data)
-        if self._left < 0:
-            raise OSError("the body is longer than allowed")
+        self._remaining -= len(data)
+        if self._remaining < 0:
+            raise OSError("the request body exceeds the maximum size")
         return data
 
 
-class BegunBody:
-    """A body whose beginning was read already.
+class PrefixedBody:
+    """A request body whose beginning was read already.
 
     Parameters
     ----------
     beginning : bytes
-        Comes first.
+        The part that was read.
     source : LimitedBody
-        Has the rest.
+        The body from which the remaining bytes are read.
     """
 
     def __init__(self, beginning, source):
@@ -51,7 +51,7 @@
 
 
 class CountedBody:
-    """A body whose request counts as in flight until the body is closed."""
+    """A response body whose request is in flight until the body is closed."""
 
     def __init__(self, chunks, blackboard):
         self._chunks = chunks
@@ -61,6 +61,6 @@
         return iter(self._chunks)
 
     def close(self):
-        """Note the end of the request."""
+        """Close the body and decrement the number of requests in flight."""
         self._blackboard.in_flight -= 1
         self._chunks.close()
--- a/packages/hingesill-node/hingesill_node/datapath/callers.py
+++ b/packages/hingesill-node/hingesill_node/datapath/callers.py
@@ -1,4 +1,4 @@
-"""Callers that are gone."""
+"""Detection of closed caller connections."""
 
 import socket
 
@@ -6,16 +6,16 @@
 
 
 def is_caller_gone(sock):
-    """Tell whether a caller has closed its connection.
+    """Return whether a caller has closed its connection.
 
     Parameters
     ----------
     sock : GreenSocket or None
-        The caller's connection; None counts as there.
+        Socket of the caller's connection; None counts as open.
 
     Notes
     -----
-    Bytes that wait are a pipelined request, not an end.
+    Unread bytes are a pipelined request, so the connection counts as open.
     """
     if sock is None:
         return False
--- a/packages/hingesill-node/hingesill_node/datapath/connections.py
+++ b/packages/hingesill-node/hingesill_node/datapath/connections.py
@@ -1,7 +1,7 @@
-"""Connections to endpoints: the standard library's, on green sockets, pooled.
+"""Pools of HTTP connections to endpoints on green sockets.
 
-urllib3 would add pools, redirects and TLS that are not used here, and time to a node's
-start.
+The connections extend those of the standard library. urllib3 would add pools,
+redirects and TLS that are not used here, and slow down the start of a node.
 """
 
 import socket
@@ -15,31 +15,31 @@
 
 __all__ = ["ConnectFailed", "EndpointConnection", "Pool", "PoolFull"]
 
-CONNECT_SECONDS = 0.25
+CONNECT_TIMEOUT_SECONDS = 0.25
 IDLE_SECONDS = 5.0
 IDLE_MARGIN_SECONDS = 1.5
 
 
 class ConnectFailed(Exception):
-    """No connection came about, so nothing was sent."""
+    """The connection could not be opened, so nothing was sent."""
 
 
 class PoolFull(ConnectFailed):
-    """This node's connections to an endpoint are used up; it says nothing of it."""
+    """The pool has reached its limit; the endpoint itself may be healthy."""
 
 
 class EndpointConnection(HTTPConnection):
-    """A connection whose socket yields to the hub.
+    """An HTTP connection on a green socket.
 
     Notes
     -----
-    Head and small body leave in one call of the socket: ``send`` collects while
-    ``collect`` is set, and ``flush`` sends what was collected.
+    The head and a small body are sent with one system call: after ``collect``,
+    ``send`` buffers its data until ``flush`` sends it.
     """
 
     def __init__(self, address):
         host, _, port = address.rpartition(":")
-        super().__init__(host.strip("[]"), int(port), timeout=CONNECT_SECONDS)
+        super().__init__(host.strip("[]"), int(port), timeout=CONNECT_TIMEOUT_SECONDS)
         self.address = address
         self.idle_until = 0.0
         self.used = False
@@ -47,62 +47,62 @@
         self._collected = None
 
     def open(self):
-        """Connect; ConnectFailed if that does not succeed in time."""
+        """Connect, or raise ConnectFailed on a failure or timeout."""
         try:
             self.sock = green_socket.create_connection(
-                (self.host, self.port), timeout=CONNECT_SECONDS
+                (self.host, self.port), timeout=CONNECT_TIMEOUT_SECONDS
             )
         except OSError as error:
             raise ConnectFailed(f"{self.address}: {error}") from error
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def collect(self):
-        """Keep what is sent until ``flush``."""
+        """Buffer all data passed to ``send`` until ``flush``."""
         self._collected = []
 
     def send(self, data):
-        """Send bytes, or keep them while collecting."""
+        """Send bytes, or buffer them after ``collect``."""
         if self._collected is not None:
             self._collected.append(data)
             return
         self.sock.sendall(data)
 
     def flush(self):
-        """Send what was collected in one call."""
+        """Send the buffered data with one call."""
         parts, self._collected = self._collected, None
         if parts:
             self.sock.sendall(b"".join(parts))
 
     def begin(self, method, target):
-        """Begin a request; the answer to the one before was read whole."""
+        """Begin a request; the previous response must have been read completely."""
         self.method = method
         self.reset_state()
         self.putrequest(method, target, skip_host=True, skip_accept_encoding=True)
 
     def reset_state(self):
-        """Let the next request begin, as answers are not read by this class.
+        """Return to the idle state, as the base class does not read the responses.
 
         Notes
         -----
-        Closing is the base class's only way back to its idle state, so it
-        closes without the socket.
+        Closing is the base class's only way back to its idle state, so the
+        connection is closed with its socket detached.
         """
         sock, self.sock = self.sock, None
         self.close()
         self.sock = sock
 
     def read_head(self, is_own=None):
-        """Return the response with its head read; see `EndpointResponse`."""
+        """Return the EndpointResponse with its head read."""
         response = EndpointResponse(self.sock, self.method, is_own)
         response.read_head()
         return response
 
     def set_time_limit(self, seconds):
-        """Bound each later read and write."""
+        """Set the timeout of each later read and write."""
         self.sock.settimeout(seconds)
 
     def is_stale(self):
-        """Tell whether the other side closed it or sent what nobody asked for."""
+        """Return whether the endpoint closed it or sent unexpected data."""
         try:
             self.sock.fd.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except (BlockingIOError, InterruptedError):
@@ -118,13 +118,13 @@
     Parameters
     ----------
     address : str
-        The endpoint's.
+        Address of the endpoint.
     limit : int
-        Connections this node may hold there, busy ones included.
+        Maximum number of connections, including those in use.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     born : int
-        The life of the endpoint to which the connections lead; 0 if it does not say.
+        Incarnation of the endpoint, as its start time in ms; 0 if unknown.
     """
 
     def __init__(self, address, limit, clock=time.monotonic, born=0):
@@ -137,13 +137,13 @@
         self.opened = 0
 
     def take(self):
-        """Return an open connection; ConnectFailed if there can be none.
+        """Return an open connection, or raise ConnectFailed.
 
         Notes
         -----
-        The last one used comes first. One that was idle for long is closed: the
-        endpoint may be about to close it, and a request that must not be
-        repeated should not run into that.
+        The most recently used connection comes first. A connection that was idle for
+        too long is closed: the endpoint may be about to close it, which would fail a
+        request that must not be repeated.
         """
         now = self._clock()
         while self._idle:
@@ -157,7 +157,9 @@
 
     def _open(self):
         if self.opened >= self.limit:
-            raise PoolFull(f"{self.address}: the node's connections are used up")
+            raise PoolFull(
+                f"{self.address}: limit of connections to the endpoint reached"
+            )
         self.opened += 1
         connection = EndpointConnection(self.address)
         try:
@@ -168,39 +170,39 @@
         return connection
 
     def has_idle(self):
-        """Tell whether there is a connection that has not rested too long."""
+        """Return whether there is a connection that was not idle for too long."""
         return bool(self._idle) and self._idle[-1].idle_until >= self._clock()
 
     def give_back(self, connection, idle_seconds=None):
-        """Keep a connection whose whole answer was read.
+        """Return a connection to the pool after its response was read completely.
 
         Parameters
         ----------
         connection : EndpointConnection
-            As `take` returned it.
+            Connection that `take` returned.
         idle_seconds : float or None
-            How long the endpoint says that it keeps it; None if unsaid.
+            Keep-alive timeout set by the endpoint, or None.
         """
-        rest = IDLE_SECONDS
+        keep_seconds = IDLE_SECONDS
         if idle_seconds is not None:
-            rest = max(0.0, idle_seconds - IDLE_MARGIN_SECONDS)
-        connection.idle_until = self._clock() + rest
+            keep_seconds = max(0.0, idle_seconds - IDLE_MARGIN_SECONDS)
+        connection.idle_until = self._clock() + keep_seconds
         if self._closed:
             self.discard(connection)
         else:
             self._idle.append(connection)
 
     def discard(self, connection):
-        """Close a connection that is not to be used again."""
+        """Close a connection that must not be reused."""
         self.opened -= 1
         connection.close()
 
     def retire(self):
-        """Close all connections as they come to rest: the endpoint is gone."""
+        """Close idle connections now and the others when they are given back."""
         self._closed = True
         self.close_idle()
 
     def close_idle(self):
-        """Close all idle connections, as for an endpoint that is leaving."""
+        """Close all idle connections, for example of a leaving endpoint."""
         while self._idle:
             self.discard(self._idle.pop())
--- a/packages/hingesill-node/hingesill_node/datapath/headers.py
+++ b/packages/hingesill-node/hingesill_node/datapath/headers.py
@@ -1,4 +1,4 @@
-"""Header names, and which headers pass from one side to the other."""
+"""Names, parsing and filtering of HTTP headers."""
 
 import re
 
@@ -24,27 +24,27 @@
     "read_flag",
     "read_limit",
     "read_milliseconds",
-    "read_rest",
+    "read_backoff",
 ]
 
 
 class EndpointHeaders(Struct, frozen=True):
-    """The names of the headers by which endpoints of a dialect speak of themselves.
+    """Names of the headers in which endpoints of a dialect report their state.
 
     Notes
     -----
-    Each dialect has all of them, and a test holds each to be read.
+    Every dialect defines all of these headers; a test checks that each is read.
 
     Parameters
     ----------
     load, warmth : str
-        How busy it is, and how cold.
+        Headers with the load and the warm-up state of the endpoint.
     limit : str
-        Requests a second that it takes from all nodes.
-    rest : str
-        Seconds for which it wants nothing more from this node.
+        Header with the requests per second that it accepts from all nodes together.
+    backoff : str
+        Header with the seconds for which this node should send it no requests.
     leaving : str
-        It ends soon.
+        Header that announces that the endpoint stops soon.
     """
 
     load: str
@@ -55,21 +55,21 @@
 
 
 class Names:
-    """The headers that hingesill reads and writes."""
+    """Header names of hingesill's own dialect."""
 
     REQUEST_ID = "Hingesill-Request-Id"
     REMAINING = "Hingesill-Remaining-Ms"
     OUTCOME = "Hingesill-Outcome"
     REASON = "Hingesill-Reason"
     RETRY_AFTER = "Hingesill-Retry-After-Ms"
-    LAYER = "Hingesill-Retries"
+    RETRIES = "Hingesill-Retries"
     RUNNING = "Hingesill-Running"
     DRAINING = "Hingesill-Draining"
     COLD = "Hingesill-Cold"
     LIMIT = "Hingesill-Limit"
 
 
-LAYER_TAKEN = "taken"
+RETRIES_TAKEN = "taken"
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -87,12 +87,12 @@
     {
         Names.REQUEST_ID.lower(),
         Names.REMAINING.lower(),
-        Names.LAYER.lower(),
+        Names.RETRIES.lower(),
         "content-length",
         "expect",
     }
 )
-OWN_OF_ENDPOINT = frozenset(
+SET_BY_ENDPOINT = frozenset(
     {
         Names.REQUEST_ID.lower(),
         Names.OUTCOME.lower(),
@@ -103,22 +103,23 @@
         Names.LIMIT.lower(),
     }
 )
-LARGEST_MILLISECONDS = 86_400_000
-MOST_DIGITS = 9
-# Value of a header that is set.
-SET = "1"
-# Stands in refusals of both dialects.
+MAX_MILLISECONDS = 86_400_000
+MAX_MILLISECONDS_DIGITS = 9
+# Value of a flag header that is set.
+FLAG_SET = "1"
+# Header of refusals in both dialects.
 RETRY_AFTER = "Retry-After"
-# Only answers with this status ask for a rest: others speak of the caller.
-RESTING_STATUS = 503
-# A plain decimal number without a sign.
+# Only Retry-After with this status asks for a back-off from the endpoint; with other
+# statuses it concerns the caller.
+BACKOFF_STATUS = 503
+# A decimal number without a sign or an exponent.
 NUMBER_PATTERN = re.compile(r"[0-9]{1,300}(\.[0-9]{0,300})?|\.[0-9]{1,300}")
-# Requests a second from which on an endpoint is taken to name no limit.
-LARGEST_LIMIT = 1e6
+# Requests per second; a limit of this size or larger counts as none.
+MAX_LIMIT_PER_SECOND = 1e6
 
 
 def list_connection_options(pairs):
-    """Return the header names that Connection headers name."""
+    """Return the header names that are listed in Connection headers."""
     options = set()
     for name, value in pairs:
         if name.lower() == "connection":
@@ -127,15 +128,15 @@
 
 
 def filter_headers(pairs, drops):
-    """Yield the headers that pass on to the other side.
+    """Yield the headers to forward.
 
     Parameters
     ----------
     pairs : iterable of tuple of str
-        Names and values as they came.
+        Names and values as received.
     drops : frozenset of str
-        Names in small letters that do not pass. What a ``Connection`` header
-        names does not pass either.
+        Lower-case names of headers to drop. Headers that are listed in a
+        ``Connection`` header are dropped too.
     """
     options = list_connection_options(pairs)
     if options:
@@ -146,82 +147,82 @@
 
 
 def read_flag(response, name):
-    """Tell whether a header of an answer is set, by one of its values at least."""
+    """Return whether at least one value of a response's header is "1"."""
     if response.get(name) is None:
         return False
     parts = ",".join(response.get_all(name)).split(",")
-    return any(part.strip() == SET for part in parts)
+    return any(part.strip() == FLAG_SET for part in parts)
 
 
 def read_limit(response, name):
-    """Return the ParsedLimit of an answer's head.
+    """Return the ParsedLimit in the head of a response.
 
     Parameters
     ----------
     response : EndpointResponse
-        Its headers are there.
+        Response with its headers read.
     name : str
-        Of the header.
+        Name of the header.
 
     Notes
     -----
-    Of several values the smallest counts. One that can't be read is no word at all: it
-    begins no limit, and ends none.
+    The smallest of several values applies. An invalid value neither sets nor ends a
+    limit.
     """
     if response.get(name) is None:
         return NO_LIMIT
-    readable = read_numbers(response, name)
-    if not readable:
+    valid = read_numbers(response, name)
+    if not valid:
         return INVALID_LIMIT
-    limit = min(readable)
-    return ParsedLimit(limit) if limit < LARGEST_LIMIT else NO_LIMIT
+    limit = min(valid)
+    return ParsedLimit(limit) if limit < MAX_LIMIT_PER_SECOND else NO_LIMIT
 
 
-def read_rest(response, name):
-    """Return the RequestedBackoff of an answer's head.
+def read_backoff(response, name):
+    """Return the RequestedBackoff in the head of a response.
 
     Parameters
     ----------
     response : EndpointResponse
-        Its headers are there.
+        Response with its headers read.
     name : str
-        Of the header.
+        Name of the header.
 
     Notes
     -----
-    Seconds, with fractions. Of several values the largest counts; where none can be
-    read, a date among them, the endpoint is left alone for a second.
+    Values are seconds, with fractions. The largest of several values applies. If no
+    value is valid (dates are not), the back-off lasts one second.
     """
-    if response.status != RESTING_STATUS or response.get(name) is None:
+    if response.status != BACKOFF_STATUS or response.get(name) is None:
         return NO_BACKOFF
-    readable = read_numbers(response, name)
-    return RequestedBackoff(max(readable)) if readable else INVALID_BACKOFF
+    valid = read_numbers(response, name)
+    return RequestedBackoff(max(valid)) if valid else INVALID_BACKOFF
 
 
 def read_numbers(response, name):
-    """Return the plain numbers among the values of a header."""
+    """Return the values of a header that are valid numbers."""
     parts = ",".join(response.get_all(name)).split(",")
     return [float(part) for part in parts if NUMBER_PATTERN.fullmatch(part.strip())]
 
 
 def read_milliseconds(environ, name):
-    """Return the seconds that a header gives in milliseconds, None if it is absent.
+    """Return the value of a header in milliseconds as seconds, or None if absent.
 
     Parameters
     ----------
     environ : dict
-        Of the request.
+        The WSGI environment of the request.
     name : str
-        As the environment spells the header.
+        Key of the header in the environment.
 
     Raises
     ------
     ValueError
-        If the header is no plain number.
+        If the value is not a number of at most nine decimal digits.
     """
     text = environ.get(name)
     if text is None:
         return None
-    if not text.isascii() or not text.isdigit() or len(text) > MOST_DIGITS:
-        raise ValueError(f"not a number of milliseconds: {text!r}")
-    return min(int(text), LARGEST_MILLISECONDS) / 1000
+    if not text.isascii() or not text.isdigit() or len(text) > MAX_MILLISECONDS_DIGITS:
+        raise ValueError(f"invalid number of milliseconds: {text!r}")
+    return min(int(text), MAX_MILLISECONDS) / 1000
--- a/packages/hingesill-node/hingesill_node/datapath/refusals.py
+++ b/packages/hingesill-node/hingesill_node/datapath/refusals.py
@@ -1,4 +1,4 @@
-"""The final answer of a request that got none from an endpoint."""
+"""Responses to requests that the node refuses."""
 
 import json
 import math
@@ -8,10 +8,10 @@
 from hingesill_core.reasons import RefusalReason
 from hingesill_node.datapath.headers import Names
 
-__all__ = ["RefusalAnswer", "build_refusal_answer", "is_sound_id"]
+__all__ = ["RefusalAnswer", "build_refusal_answer", "is_valid_request_id"]
 
-LONGEST_ID = 128
-TEXTS = {
+MAX_REQUEST_ID_LENGTH = 128
+REASON_PHRASES = {
     400: "Bad Request",
     404: "Not Found",
     413: "Content Too Large",
@@ -44,18 +44,18 @@
 
 
 class RefusalAnswer(Struct, frozen=True):
-    """A refusal as it goes to the caller.
+    """The response of a refusal as sent to the caller.
 
     Parameters
     ----------
     status : str
-        Status code and phrase.
+        Status code and reason phrase.
     headers : list of tuple
-        With outcome, reason and when to come back.
+        Headers, among them the outcome, the reason and the time to retry after.
     body : bytes
-        The same as JSON.
+        Outcome, reason and time to retry after as JSON.
     closes : bool
-        The caller's connection cannot be used again.
+        Whether the caller's connection is closed.
     """
 
     status: str
@@ -65,7 +65,7 @@
 
 
 def build_refusal_answer(refusal, request_id):
-    """Return the answer that a Refusal becomes."""
+    """Return the RefusalAnswer for a Refusal."""
     reason = refusal.reason
     status = STATUSES.get(reason, DEFAULT_STATUS)
     content = {"outcome": refusal.outcome.value, "reason": reason.value}
@@ -74,7 +74,7 @@
         (Names.OUTCOME, refusal.outcome.value),
         (Names.REASON, reason.value),
     ]
-    if is_sound_id(request_id):
+    if is_valid_request_id(request_id):
         headers.append((Names.REQUEST_ID, request_id))
     if refusal.retry_after is not None:
         milliseconds = math.ceil(refusal.retry_after * 1000)
@@ -83,9 +83,11 @@
         headers.append((Names.RETRY_AFTER, str(milliseconds)))
     body = json.dumps(content).encode() + b"\n"
     closes = reason in CLOSING_REASONS
-    return RefusalAnswer(f"{status} {TEXTS[status]}", headers, body, closes)
+    return RefusalAnswer(f"{status} {REASON_PHRASES[status]}", headers, body, closes)
 
 
-def is_sound_id(text):
-    """Tell whether a request id can be put into a header again."""
-    return 0 < len(text) <= LONGEST_ID and text.isascii() and text.isprintable()
+def is_valid_request_id(text):
+    """Return whether a request id is valid as a header value."""
+    return (
+        0 < len(text) <= MAX_REQUEST_ID_LENGTH and text.isascii() and text.isprintable()
+    )
--- a/packages/hingesill-node/hingesill_node/datapath/requests.py
+++ b/packages/hingesill-node/hingesill_node/datapath/requests.py
@@ -1,4 +1,4 @@
-"""Reading a caller's request head with httptools within eventlet's server."""
+"""Parsing request heads of callers with httptools in the server of eventlet."""
 
 import httptools
 
@@ -6,7 +6,7 @@
 
 
 class RequestHead:
-    """The head of one request, as eventlet's server asks for it.
+    """The head of a request, with the interface that eventlet's server expects.
 
     Parameters
     ----------
@@ -16,12 +16,12 @@
     Raises
     ------
     httptools.HttpParserError
-        If the parser, which is strict, does not take it.
+        If the strict parser rejects the head.
 
     Notes
     -----
-    ``_headers`` and ``get_content_type`` are what eventlet's server reads of
-    the standard library's message.
+    eventlet's server uses ``_headers`` and ``get_content_type`` of the message
+    class of the standard library.
     """
 
     def __init__(self, lines):
@@ -32,17 +32,17 @@
         try:
             parser.feed_data(b"".join(lines))
         except httptools.HttpParserUpgrade:
-            pass  # The upgrade is not passed on, so the request is a plain one.
+            pass  # Upgrades are not forwarded: a request without one.
         self.method = parser.get_method().decode("ascii")
         self.version = parser.get_http_version()
         self.keep_alive = parser.should_keep_alive()
 
     def on_url(self, url):
-        """Take the target, which may come in parts."""
+        """Append a part of the target."""
         self.target += url
 
     def on_header(self, name, value):
-        """Take one header."""
+        """Add a header."""
         pair = (name.decode("latin-1"), value.decode("latin-1"))
         self._headers.append(pair)
         self._values.setdefault(pair[0].lower(), pair[1])
@@ -52,5 +52,5 @@
         return self._values.get(name.lower(), default)
 
     def get_content_type(self):
-        """Return the type of a body without a type of its own."""
+        """Return the default content type."""
         return "text/plain"
--- a/packages/hingesill-node/hingesill_node/datapath/responses.py
+++ b/packages/hingesill-node/hingesill_node/datapath/responses.py
@@ -1,4 +1,4 @@
-"""Reading an endpoint's answer with httptools, whose parser is compiled.
+"""Reading an endpoint's response with the compiled parser of httptools.
 
 The parser of the standard library costs more than all decisions of the node
 together; ``docs/design/data-path.md`` has the figures.
@@ -10,49 +10,49 @@
 
 from hingesill_node.datapath.waits import receive
 
-__all__ = ["EndpointResponse", "MalformedAnswer", "ShortAnswer"]
+__all__ = ["EndpointResponse", "MalformedResponse", "IncompleteResponse"]
 
 RECEIVE_BYTES = 64 * 1024
-LARGEST_HEAD_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 64 * 1024
 FIRST_FINAL_STATUS = 200
 IDLE_TIMEOUT = re.compile(r"timeout=(\d{1,6})")
 BODYLESS_STATUSES = frozenset({204, 304})
 
 
-class MalformedAnswer(OSError):
-    """What came is not an HTTP answer."""
+class MalformedResponse(OSError):
+    """The received data is not a valid HTTP response."""
 
 
-class ShortAnswer(OSError):
-    """The connection ended before the whole answer had come."""
+class IncompleteResponse(OSError):
+    """The connection was closed before the response was complete."""
 
 
 class EndpointResponse:
-    """One answer as it arrives.
+    """A response that is parsed while it is received.
 
     Parameters
     ----------
     sock : GreenSocket
-        The connection; its time limit bounds each read.
+        Socket of the connection; its timeout applies to each read.
     method : str
-        Of the request: an answer to HEAD has no body.
+        Method of the request: a response to HEAD has no body.
     is_own : callable or None
-        Tells of a head whether it answers this request. An endpoint may send a
-        late answer to an earlier request in its place; that one is read and
-        dropped, and the connection is not used again.
+        Returns whether a head belongs to this request. An endpoint may first send a
+        late response to an earlier request on the connection; such a response is
+        read and dropped, and the connection is not reused.
 
     Attributes
     ----------
     status : int
-        The status code, once the head was read.
+        The status code; 0 until the head is read.
     reason : str
         The reason phrase.
     headers : list of tuple of str
-        Names and values as they came.
+        Names and values as received.
     length : int or None
-        The body's length, if the head tells it.
+        Length of the body, if the head has it.
     complete : bool
-        The whole answer was read.
+        Whether the response was read completely.
     """
 
     def __init__(self, sock, method, is_own=None):
@@ -63,8 +63,8 @@
         self._chunks = []
         self._received = 0
         self._head_done = False
-        self._tainted = False
-        self._surplus = False
+        self._must_close = False
+        self._unsolicited = False
         self._begin()
 
     def _begin(self):
@@ -74,25 +74,25 @@
         self.length = None
         self.complete = False
         self._framed = False
-        self._foreign = False
+        self._mismatched = False
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self):
-        """Note an answer that nobody asked for."""
+        """Detect an unsolicited response after the complete one."""
         if self.complete:
-            self._tainted = True
-            self._surplus = True
+            self._must_close = True
+            self._unsolicited = True
 
     def on_status(self, status):
-        """Take the reason phrase, which may come in parts."""
-        if self._surplus:
+        """Append a part of the reason phrase."""
+        if self._unsolicited:
             return
         self.reason += status.decode("latin-1")
 
     def on_header(self, name, value):
-        """Take one header."""
-        if self._surplus:
+        """Add a header."""
+        if self._unsolicited:
             return
         text = value.decode("latin-1")
         self.headers.append((name.decode("latin-1"), text))
@@ -104,16 +104,16 @@
             self._framed = True
 
     def on_headers_complete(self):
-        """Note the end of the head."""
-        if self._surplus:
+        """Check the complete head and whether a body follows."""
+        if self._unsolicited:
             return
         self.status = self._parser.get_status_code()
         self._keep_alive = self._parser.should_keep_alive()
         if self.status < FIRST_FINAL_STATUS:
             return
         if self._is_own is not None and not self._is_own(self):
-            self._foreign = True
-            self._tainted = True
+            self._mismatched = True
+            self._must_close = True
             return
         self._head_done = True
         if self._method == "HEAD" or self.status in BODYLESS_STATUSES:
@@ -121,21 +121,21 @@
             self.complete = True
 
     def on_body(self, body):
-        """Take a part of the body."""
-        if not self._foreign and not self.complete:
+        """Add a part of the body."""
+        if not self._mismatched and not self.complete:
             self._chunks.append(body)
 
     def on_message_complete(self):
-        """Note the end of an answer, or of a preliminary one."""
+        """Complete the response, or drop an interim or mismatched one."""
         if self._head_done:
             self.complete = True
         else:
             self._begin()
 
-    # What the node calls.
+    # Methods for the data path.
 
     def get(self, name):
-        """Return the value of a header, or None."""
+        """Return the first value of a header, or None."""
         lowered = name.lower()
         for known, value in self.headers:
             if known.lower() == lowered:
@@ -143,62 +143,64 @@
         return None
 
     def get_all(self, name):
-        """Return the values of a header, in the order in which they came."""
+        """Return the values of a header in the order received."""
         lowered = name.lower()
         return [value for known, value in self.headers if known.lower() == lowered]
 
     @property
     def idle_seconds(self):
-        """How long the endpoint keeps a connection at rest; None if unsaid."""
+        """Keep-alive timeout of the endpoint in seconds, or None if not given."""
         match = IDLE_TIMEOUT.search(self.get("Keep-Alive") or "")
         return float(match.group(1)) if match is not None else None
 
     @property
     def can_keep(self):
-        """Whether the connection may carry another request."""
-        return self.complete and self._keep_alive and not self._tainted
+        """Whether the connection can be reused for another request."""
+        return self.complete and self._keep_alive and not self._must_close
 
     def read_head(self):
-        """Read until the head is there.
+        """Read until the head is complete.
 
         Raises
         ------
         OSError
-            MalformedAnswer, ShortAnswer or the socket's own.
+            MalformedResponse, IncompleteResponse or an error of the socket.
         """
         while not self._head_done:
             self._receive()
-            if not self._head_done and self._received > LARGEST_HEAD_BYTES:
-                raise MalformedAnswer("the head is too long")
+            if not self._head_done and self._received > MAX_HEAD_BYTES:
+                raise MalformedResponse("the response head is too long")
 
     def _receive(self):
-        """Read once and parse; tell whether anything came."""
+        """Read once from the socket and parse the data."""
         data = receive(self._sock, RECEIVE_BYTES)
         if not data:
-            self._end_early()
+            self._handle_eof()
             return
         self._received += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.complete:
-                raise MalformedAnswer(str(error)) from error
-            self._tainted = True
+                raise MalformedResponse(str(error)) from error
+            self._must_close = True
 
-    def _end_early(self):
-        """Take the end of the connection: the end of an unframed body or a fault."""
+    def _handle_eof(self):
+        """Complete an unframed body at the end of the connection, or raise."""
         if not self._head_done or self._framed:
-            raise ShortAnswer("the connection ended before the answer")
+            raise IncompleteResponse(
+                "the connection was closed before the response was complete"
+            )
         self._keep_alive = False
         self.complete = True
 
     def read_body(self):
-        """Yield the parts of the body as they come.
+        """Yield the parts of the body as they are received.
 
         Raises
         ------
         OSError
-            As `read_head`.
+            See `read_head`.
         """
         while True:
             chunks, self._chunks = self._chunks, []
@@ -212,11 +214,11 @@
         return b"".join(self.read_body())
 
     def read_short(self, limit):
-        """Return the whole body if it is short, else None; see `read_body`.
+        """Return the whole body, or None if it is longer than a limit.
 
         Notes
         -----
-        What was read of a longer one is kept for `read_body`.
+        The part of a longer body that was read is kept for `read_body`.
         """
         while not self.complete:
             if sum(map(len, self._chunks)) > limit:
--- a/packages/hingesill-node/hingesill_node/datapath/server.py
+++ b/packages/hingesill-node/hingesill_node/datapath/server.py
@@ -1,4 +1,4 @@
-"""eventlet's WSGI server on the callers' address."""
+"""The WSGI server of eventlet for the callers' address."""
 
 import eventlet
 import httptools
@@ -11,11 +11,11 @@
 
 __all__ = ["CallerProtocol", "listen", "start_server"]
 
-MOST_CONNECTIONS = 10_000
-IDLE_SECONDS = 60
-SOCKET_SECONDS = 30
+MAX_CONNECTIONS = 10_000
+KEEP_ALIVE_SECONDS = 60
+SOCKET_TIMEOUT_SECONDS = 30
 END_OF_HEAD = (b"\r\n", b"\n", b"")
-MALFORMED = (
+BAD_FRAMING_RESPONSE = (
     b"HTTP/1.1 400 Bad Request\r\n"
     b"Hingesill-Outcome: not-run\r\nHingesill-Reason: bad-framing\r\n"
     b"Connection: close\r\nContent-Length: 0\r\n\r\n"
@@ -23,21 +23,21 @@
 
 
 class CallerProtocol(wsgi.HttpProtocol):
-    """Lets the application end a connection after its answer."""
+    """HTTP protocol that lets the application close a connection."""
 
     def get_environ(self):
-        """Return the environment with this protocol object in it."""
+        """Return the WSGI environment with this protocol object added."""
         environ = super().get_environ()
         environ[PROTOCOL_KEY] = self
         return environ
 
     def parse_request(self):
-        """Read and parse the head; answer a malformed one and tell of it.
+        """Read and parse the head of a request; reject a malformed one.
 
         Returns
         -------
         bool
-            False if the request was answered here.
+            False if the request was malformed and has been rejected.
         """
         self.close_connection = True
         lines = [self.raw_requestline]
@@ -46,7 +46,7 @@
         try:
             head = RequestHead(lines)
         except httptools.HttpParserError:
-            self.wfile.write(MALFORMED)
+            self.wfile.write(BAD_FRAMING_RESPONSE)
             self.wfile.flush()
             return False
         self.headers = head
@@ -58,30 +58,30 @@
         return True
 
 
-class SilentLog:
-    """Takes the server's own lines: events are logged by the application."""
+class NullLog:
+    """Drops the log lines of the server, as the application logs events."""
 
     def info(self, message, *arguments):
-        """Drop a line."""
+        """Drop a log line."""
 
     debug = info
     error = info
 
 
 def listen(address, reuse_port):
-    """Return a listening green socket, the one that was opened early if there is one.
+    """Return a listening green socket, on the early opened socket if there is one.
 
     Parameters
     ----------
     address : str
-        ``IP:PORT``; port 0 takes a free one.
+        ``IP:PORT``; port 0 selects a free port.
     reuse_port : bool
-        Let several nodes of a VM share the port.
+        Whether several nodes of a VM share the port.
 
     Raises
     ------
     OSError
-        If the address cannot be listened on.
+        If listening on the address fails.
     """
     return GreenSocket(take_early(address) or open_listener(address, reuse_port))
 
@@ -92,18 +92,18 @@
     Returns
     -------
     GreenThread
-        Ends when the socket is closed.
+        Green thread that ends when the socket is closed.
     """
-    pool = eventlet.GreenPool(MOST_CONNECTIONS)
+    pool = eventlet.GreenPool(MAX_CONNECTIONS)
     return eventlet.spawn(
         wsgi.server,
         sock,
         application,
         protocol=CallerProtocol,
         custom_pool=pool,
-        log=SilentLog(),
+        log=NullLog(),
         log_output=False,
-        keepalive=IDLE_SECONDS,
-        socket_timeout=SOCKET_SECONDS,
+        keepalive=KEEP_ALIVE_SECONDS,
+        socket_timeout=SOCKET_TIMEOUT_SECONDS,
         debug=False,
     )
--- a/packages/hingesill-node/hingesill_node/datapath/tests/__init__.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the datapath sub-package."""
+"""Tests of the datapath subpackage."""
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_connections.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Tests of the idle connections to an endpoint."""
+"""Tests of pools of idle connections."""
 
 import unittest
 
@@ -18,14 +18,14 @@
         self.pool = Pool("10.0.0.1:80", 4, lambda: self.now)
         self.pool.opened = 1
 
-    def test_a_new_pool_has_none(self):
+    def test_a_new_pool_has_no_idle_connection(self):
         self.assertFalse(self.pool.has_idle())
 
-    def test_one_that_was_given_back_waits_for_its_next_use(self):
+    def test_a_connection_given_back_is_idle(self):
         self.pool.give_back(FakeConnection())
         self.assertTrue(self.pool.has_idle())
 
-    def test_one_that_rested_too_long_does_not_count(self):
+    def test_a_connection_that_was_idle_too_long_does_not_count(self):
         self.pool.give_back(FakeConnection())
         self.now = IDLE_SECONDS + 0.1
         self.assertFalse(self.pool.has_idle())
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_lives.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_lives.py
@@ -1,4 +1,4 @@
-"""Tests of connections to endpoints that start again under their identity."""
+"""Tests of connections to endpoints that restart under the same identity."""
 
 import unittest
 
@@ -11,14 +11,14 @@
 class PoolTests(unittest.TestCase):
     def setUp(self):
         self.runner = build_runner(born=100)
-        self.before = self.runner.find_pool("i1")
+        self.previous = self.runner.find_pool("i1")
 
-    def test_connections_to_the_life_before_are_not_used_again(self):
+    def test_connections_to_the_previous_incarnation_are_not_reused(self):
         self.runner.configure(build_service(born=200), FLEET)
-        after = self.runner.find_pool("i1")
-        self.assertIsNot(after, self.before)
-        self.assertEqual(after.born, 200)
+        current = self.runner.find_pool("i1")
+        self.assertIsNot(current, self.previous)
+        self.assertEqual(current.born, 200)
 
-    def test_those_to_the_same_life_are(self):
+    def test_connections_to_the_same_incarnation_are_reused(self):
         self.runner.configure(build_service(born=100), FLEET)
-        self.assertIs(self.runner.find_pool("i1"), self.before)
+        self.assertIs(self.runner.find_pool("i1"), self.previous)
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_responses.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_responses.py
@@ -1,4 +1,4 @@
-"""Tests of reading answers: cut, surplus and late ones."""
+"""Tests of reading incomplete, unsolicited and late responses."""
 
 import socket
 import struct
@@ -7,10 +7,10 @@
 import eventlet
 from eventlet.green import socket as green_socket
 
-from hingesill_node.datapath.responses import EndpointResponse, ShortAnswer
+from hingesill_node.datapath.responses import EndpointResponse, IncompleteResponse
 from hingesill_node.datapath.waits import wait_any
 
-RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 def connect():
@@ -31,7 +31,7 @@
         self.addCleanup(self.far.close)
 
     def read(self, data, end=None, request_id=None):
-        """Return the response to data that the far side sends."""
+        """Return the EndpointResponse with its head read from data that is sent."""
         is_own = None
         if request_id is not None:
             is_own = self.build_check(request_id)
@@ -47,27 +47,27 @@
         self.far.sendall(data)
         eventlet.sleep(0.02)
         if end == "reset":
-            self.far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            self.far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         if end is not None:
             self.far.close()
 
-    def test_unframed_answer_ends_with_its_connection(self):
+    def test_unframed_response_ends_with_its_connection(self):
         response = self.read(b"HTTP/1.1 200 OK\r\n\r\nwhole", "close")
         self.assertEqual(response.read_short(100), b"whole")
         self.assertFalse(response.can_keep)
 
-    def test_unframed_answer_that_is_reset_is_not_whole(self):
+    def test_reset_unframed_response_is_incomplete(self):
         response = self.read(b"HTTP/1.1 200 OK\r\n\r\nha", "reset")
         with self.assertRaises(OSError):
             response.read_short(100)
 
-    def test_framed_answer_that_ends_early_is_not_whole(self):
+    def test_truncated_framed_response_is_incomplete(self):
         head = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nha"
         response = self.read(head, "close")
-        with self.assertRaises(ShortAnswer):
+        with self.assertRaises(IncompleteResponse):
             response.read_short(100)
 
-    def test_late_answer_to_another_request_is_passed_over(self):
+    def test_late_response_to_another_request_is_skipped(self):
         late = b"HTTP/1.1 500 Late\r\nId: old\r\nContent-Length: 3\r\n\r\nold"
         own = b"HTTP/1.1 200 OK\r\nId: new\r\nContent-Length: 3\r\n\r\nnew"
         response = self.read(late + own, request_id="new")
@@ -75,7 +75,7 @@
         self.assertEqual(response.read_short(100), b"new")
         self.assertFalse(response.can_keep)
 
-    def test_surplus_answer_leaves_the_whole_one_as_it_is(self):
+    def test_unsolicited_response_does_not_change_the_complete_one(self):
         own = b"HTTP/1.1 200 OK\r\nId: new\r\nContent-Length: 3\r\n\r\nnew"
         more = b"HTTP/1.1 404 No\r\nId: old\r\nContent-Length: 3\r\n\r\nold"
         response = self.read(own + more, request_id="new")
@@ -84,27 +84,27 @@
         self.assertEqual(response.reason, "OK")
         self.assertFalse(response.can_keep)
 
-    def test_long_body_is_left_for_later(self):
+    def test_long_body_can_be_read_later(self):
         head = b"HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n"
         response = self.read(head + b"x" * 30)
         self.assertIsNone(response.read_short(5)) if not response.complete else None
         self.assertEqual(b"".join(response.read_body()), b"x" * 30)
 
-    def test_how_long_a_connection_is_kept(self):
+    def test_keep_alive_timeout(self):
         head = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=7, max=9\r\n"
         response = self.read(head + b"Content-Length: 0\r\n\r\n")
         self.assertEqual(response.idle_seconds, 7.0)
 
 
 class WaitTests(unittest.TestCase):
-    def test_two_that_are_ready_at_once_end_one_wait(self):
+    def test_two_ready_sockets_end_one_wait(self):
         first, far_first = connect()
         second, far_second = connect()
         far_first.sendall(b"x")
         far_second.sendall(b"x")
         eventlet.sleep(0.02)
         self.assertIn(wait_any([first, second], 1.0), (first, second))
-        # A second call back would end this sleep early.
+        # A second callback would end this sleep early.
         with eventlet.Timeout(1.0):
             before = eventlet.hubs.get_hub().clock()
             eventlet.sleep(0.05)
@@ -112,7 +112,7 @@
         for sock in (first, second, far_first, far_second):
             sock.close()
 
-    def test_none_after_the_time(self):
+    def test_none_after_the_timeout(self):
         near, far = connect()
         self.assertIsNone(wait_any([near], 0.02))
         near.close()
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_suspension.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""Tests of a VM that is suspended for seconds while requests wait."""
+"""Tests of requests and connections across a suspension of the VM."""
 
 import time
 import unittest
@@ -15,8 +15,8 @@
 SUSPENDED_SECONDS = 5.0
 
 
-class PartedClock:
-    """Goes on while the VM is suspended, unlike the one of the timers."""
+class SuspensionClock:
+    """Clock that includes suspended time, unlike the clock of the timers."""
 
     def __init__(self):
         self.suspended = 0.0
@@ -25,8 +25,8 @@
         return time.monotonic() + self.suspended
 
 
-class RestingConnection:
-    """Has rested in a pool."""
+class IdleConnection:
+    """Idle connection in a pool."""
 
     idle_until = 0.0
 
@@ -39,16 +39,16 @@
 
 class SuspensionTests(unittest.TestCase):
     def setUp(self):
-        self.clock = PartedClock()
+        self.clock = SuspensionClock()
         self.runner = build_runner(clock=self.clock)
 
-    def test_a_request_whose_time_has_passed_is_refused_and_not_sent(self):
+    def test_an_expired_request_is_refused_and_not_sent(self):
         room = self.runner.get_room(OwnFormat(), Counters())
         now = self.clock()
         ticket = Ticket(ROUTE, now, now + 2.0)
         request = CallerRequest("r1", "GET", "/a/", [], Body(b"", 0), ticket)
-        ask = self.runner.dispatcher.submit(ticket, now)
-        waiting = eventlet.spawn(room.wait, request, ask)
+        query = self.runner.dispatcher.submit(ticket, now)
+        waiting = eventlet.spawn(room.wait, request, query)
         eventlet.sleep(0.01)
         self.clock.suspended = SUSPENDED_SECONDS
         with eventlet.Timeout(0.5):
@@ -56,10 +56,10 @@
         self.assertIs(found.decision.reason, RefusalReason.DEADLINE_UNREACHABLE)
         self.assertEqual(ticket.sends, 0)
 
-    def test_a_connection_that_rested_meanwhile_is_not_used(self):
+    def test_a_connection_that_was_idle_too_long_is_not_used(self):
         pool = self.runner.find_pool("i1")
         pool.opened = 1
-        pool.give_back(RestingConnection(), idle_seconds=4.0)
+        pool.give_back(IdleConnection(), idle_seconds=4.0)
         self.assertTrue(pool.has_idle())
         self.clock.suspended = SUSPENDED_SECONDS
         self.assertFalse(pool.has_idle())
--- a/packages/hingesill-node/hingesill_node/datapath/transport.py
+++ b/packages/hingesill-node/hingesill_node/datapath/transport.py
@@ -1,4 +1,4 @@
-"""One send: the request to an endpoint and the head of its answer."""
+"""Sending a request to an endpoint and reading the head of its response."""
 
 from hingesill_core.routing.messages import SendResult, SendStatus
 from hingesill_node.datapath.waits import WaitTimeout
@@ -6,51 +6,51 @@
 __all__ = ["BodyFailed", "TRANSPORT_ERRORS", "connect", "read_result", "send_request"]
 
 CHUNK_BYTES = 64 * 1024
-WRITE_SECONDS = 10.0
+WRITE_TIMEOUT_SECONDS = 10.0
 BODYLESS_METHODS = frozenset({"GET", "HEAD", "DELETE", "OPTIONS"})
 TRANSPORT_ERRORS = (OSError, WaitTimeout)
 FIRST_FAULT_STATUS = 500
 
 
 class BodyFailed(Exception):
-    """The caller's body ended early or grew too large while it was passed on."""
+    """The body from the caller was incomplete or too large during streaming."""
 
 
 def connect(live):
-    """Give a send one of its pool's connections, unless it has one.
+    """Take a connection from the pool unless the send has one already.
 
     Raises
     ------
     ConnectFailed
-        None came about.
+        If no connection could be opened.
     """
     if live.connection is None:
         live.connection = live.pool.take()
 
 
 def send_request(live, request, now, wire):
-    """Send a request on its connection.
+    """Send a request on the connection of a send.
 
     Parameters
     ----------
     live : LiveSend
-        Has the connection.
+        The send with its connection.
     request : CallerRequest
-        What to send.
+        The request to send.
     now : float
-        Seconds of the node's clock, for the remaining time.
+        Time in seconds, from which the remaining time is computed.
     wire : OwnFormat
-        The dialect.
+        The HTTP dialect.
 
     Raises
     ------
     OSError
-        The endpoint may have got part of it.
+        If writing failed; the endpoint may have received a part of the request.
     BodyFailed
-        The caller's side failed.
+        If the body could not be read from the caller.
     """
     connection = live.connection
-    connection.set_time_limit(WRITE_SECONDS)
+    connection.set_time_limit(WRITE_TIMEOUT_SECONDS)
     connection.collect()
     write_head(connection, request, now, live.send.endpoint, wire)
     body = request.body
@@ -65,7 +65,7 @@
 
 
 def write_head(connection, request, now, endpoint, wire):
-    """Write the request line and the headers."""
+    """Write the request line and the headers to the connection's buffer."""
     connection.begin(request.method, request.target)
     for name, value in request.headers:
         connection.putheader(name, value)
@@ -82,7 +82,7 @@
 
 
 def stream_body(connection, body):
-    """Pass a long body on as it comes; the socket's buffers hold the caller back."""
+    """Stream a long body; the socket buffers apply back-pressure to the caller."""
     sent = 0
     while True:
         chunk = read_chunk(body)
@@ -96,11 +96,11 @@
     if body.length is None:
         connection.send(b"0\r\n\r\n")
     elif sent < body.length:
-        raise BodyFailed("the caller's body ended early")
+        raise BodyFailed("the request body from the caller is incomplete")
 
 
 def read_chunk(body):
-    """Return the next part of a body; BodyFailed if the caller's side fails."""
+    """Return the next chunk of a body, or raise BodyFailed."""
     try:
         return body.source.read(CHUNK_BYTES)
     except (OSError, ValueError) as error:
@@ -108,37 +108,37 @@
 
 
 def read_result(live, now, own_in_flight, wire, request_id):
-    """Read the head of the answer and what it tells of the endpoint.
+    """Read the head of a response and the endpoint state that it reports.
 
     Parameters
     ----------
     live : LiveSend
-        Sent, and readable.
+        A send whose connection is readable; its response is set.
     now : float
-        Seconds of the node's clock.
+        Time in seconds.
     own_in_flight : int
-        This node's sends in flight there, with this one.
+        This node's sends in flight at the endpoint, including this one.
     wire : OwnFormat
-        The dialect.
+        The HTTP dialect.
     request_id : str
-        Answers to other requests are passed over.
+        Id of the request; responses to other requests are skipped.
 
     Returns
     -------
     SendResult
-        ANSWERED, FAULT or REFUSED; the response stands in ``live``.
+        Has the status ANSWERED, FAULT or REFUSED.
 
     Raises
     ------
     OSError
-        The answer was lost.
+        If the response was lost.
     """
     response = live.response = live.connection.read_head(
-        lambda answer: wire.is_own_answer(answer, request_id)
+        lambda received: wire.is_own_answer(received, request_id)
     )
     signals = wire.read_signals(response, now, own_in_flight - 1)
     return SendResult(
-        classify_answer(response.status, signals),
+        classify_response(response.status, signals),
         signals.report,
         leaving=signals.leaving,
         cold=signals.cold,
@@ -147,8 +147,8 @@
     )
 
 
-def classify_answer(status, signals):
-    """Return how a send ended that brought a whole head."""
+def classify_response(status, signals):
+    """Return the SendStatus for a response with a complete head."""
     if signals.not_run:
         return SendStatus.REFUSED
     if status >= FIRST_FAULT_STATUS:
--- a/packages/hingesill-node/hingesill_node/datapath/wire.py
+++ b/packages/hingesill-node/hingesill_node/datapath/wire.py
@@ -1,8 +1,8 @@
-"""The words of one HTTP dialect: headers, load reports, refusals.
+"""hingesill's own HTTP dialect: headers, load reports and refusals.
 
-hingesill's own dialect is `OwnFormat`. An adapter to a platform with other
-words brings an object with the same methods; nothing else of the data path
-knows a header's name.
+An adapter to a platform with other headers provides an object with the same
+methods as `OwnFormat`; the rest of the data path does not depend on header
+names.
 """
 
 from msgspec import Struct
@@ -11,16 +11,16 @@
 from hingesill_core.routing.availability import NO_BACKOFF, RequestedBackoff
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_node.datapath.headers import (
-    LAYER_TAKEN,
-    OWN_OF_ENDPOINT,
+    RETRIES_TAKEN,
     RETRY_AFTER,
+    SET_BY_ENDPOINT,
     SET_BY_NODE,
     EndpointHeaders,
     Names,
+    read_backoff,
     read_flag,
     read_limit,
     read_milliseconds,
-    read_rest,
 )
 from hingesill_node.datapath.refusals import build_refusal_answer
 
@@ -31,22 +31,23 @@
 
 
 class Signals(Struct, frozen=True):
-    """What the head of an endpoint's answer tells of it.
+    """The state of an endpoint as reported in the head of its response.
 
     Parameters
     ----------
     report : LoadReport or None
-        Its load.
+        The load of the endpoint.
     not_run : bool
-        It says that it did not run the request.
+        Whether the endpoint did not execute the request.
     leaving, cold : bool
-        It says that it is leaving, or has just started.
-    rest : RequestedBackoff
-        For which it wants nothing more from this node.
+        Whether the endpoint is leaving, or has just started.
+    backoff : RequestedBackoff
+        Time for which this node should send it no requests.
     warm_in : float or None
-        Seconds for which it is cold, 0 if it is warm; None if it did not tell.
+        Remaining seconds of its warm-up, 0 if it is warm; None if not reported.
     limit : ParsedLimit or None
-        Requests that it takes from all nodes; None if another one answered.
+        Limit of the requests from all nodes; None if the response is from another
+        endpoint.
     """
 
     report: LoadReport | None = None
@@ -59,10 +60,10 @@
 
 
 class OwnFormat:
-    """The dialect that hingesill speaks without a platform's adapter."""
+    """The dialect that is used without a platform adapter."""
 
     request_drops = SET_BY_NODE
-    answer_drops = OWN_OF_ENDPOINT
+    answer_drops = SET_BY_ENDPOINT
     endpoint_headers = EndpointHeaders(
         load=Names.RUNNING,
         warmth=Names.COLD,
@@ -70,25 +71,25 @@
         backoff=RETRY_AFTER,
         leaving=Names.DRAINING,
     )
-    layer_environ = "HTTP_HINGESILL_RETRIES"
+    retries_environ = "HTTP_HINGESILL_RETRIES"
 
     def read_request_id(self, environ):
-        """Return the id that the caller gave its request, or None."""
+        """Return the request id set by the caller, or None."""
         return environ.get("HTTP_HINGESILL_REQUEST_ID")
 
     def read_time_left(self, environ):
-        """Return the caller's remaining seconds, or None if it gave none.
+        """Return the remaining seconds set by the caller, or None.
 
         Raises
         ------
         ValueError
-            If what it gave is not understood.
+            If the header is invalid.
         """
         return read_milliseconds(environ, "HTTP_HINGESILL_REMAINING_MS")
 
     def may_retry(self, environ):
-        """Tell whether no layer nearer to the caller sends again."""
-        return environ.get(self.layer_environ) != LAYER_TAKEN
+        """Return whether the node may retry, as no client layer before it does."""
+        return environ.get(self.retries_environ) != RETRIES_TAKEN
 
     def build_request_headers(self, request_id, endpoint, remaining):
         """Return the headers that the node adds to a request.
@@ -96,36 +97,36 @@
         Parameters
         ----------
         request_id : str
-            As the caller gave it, or made by the node.
+            Id of the request, set by the caller or the node.
         endpoint : str
             Identity of the endpoint.
         remaining : float
-            Seconds that are left.
+            Remaining seconds of the request.
         """
         return [
             (Names.REQUEST_ID, request_id),
             (Names.REMAINING, str(max(0, int(remaining * 1000)))),
-            (Names.LAYER, LAYER_TAKEN),
+            (Names.RETRIES, RETRIES_TAKEN),
         ]
 
     def build_answer_headers(self, request_id):
-        """Return the headers that the node adds to an endpoint's answer."""
+        """Return the headers that the node adds to an endpoint's response."""
         return [(Names.REQUEST_ID, request_id), (Names.OUTCOME, "answered")]
 
     def is_own_answer(self, response, request_id):
-        """Tell whether an answer is not that of another request."""
+        """Return whether a response may belong to the request."""
         return True
 
     def is_answer_of(self, response, endpoint):
-        """Tell whether an answer to a question came from this endpoint."""
+        """Return whether a reply to a load query may be from the endpoint."""
         return True
 
     def is_unsigned(self, response):
-        """Tell whether an answer to a question names no endpoint."""
+        """Return whether a reply to a load query names no endpoint."""
         return True
 
     def read_signals(self, response, now, own_in_flight):
-        """Return the Signals of an answer's head."""
+        """Return the Signals in the head of a response."""
         not_run = (
             response.status == REFUSED_STATUS and response.get(Names.OUTCOME) == NOT_RUN
         )
@@ -135,21 +136,21 @@
             not_run=not_run,
             leaving=read_flag(response, names.leaving),
             cold=read_flag(response, names.warmth),
-            backoff=read_rest(response, names.backoff),
+            backoff=read_backoff(response, names.backoff),
             limit=read_limit(response, names.limit),
         )
 
     def is_promise(self, status):
-        """Tell whether callers take a status as a word that nothing was run."""
+        """Return whether a status tells callers that the request was not executed."""
         return False
 
     def build_refusal_answer(self, refusal, request_id):
-        """Return the RefusalAnswer that a Refusal becomes."""
+        """Return the RefusalAnswer for a Refusal."""
         return build_refusal_answer(refusal, request_id)
 
 
 def parse_report(text, now, own_in_flight):
-    """Return the load report of a header, or None if there is none to use."""
+    """Return the LoadReport of a header value, or None if absent or invalid."""
     if text is None or not text.isdigit() or len(text) > 6:
         return None
     return LoadReport(int(text), now, own_in_flight)
