--- a/packages/hingesill-node/hingesill_node/datapath/connections.py
+++ b/packages/hingesill-node/hingesill_node/datapath/connections.py
@@ -134,7 +134,7 @@
         self._clock = clock
         self._idle = deque()
         self._closed = False
-        self.opened = 0
+        self.open_count = 0
 
     def take(self):
         """Return an open connection, or raise ConnectFailed.
@@ -156,16 +156,16 @@
         return self._open()
 
     def _open(self):
-        if self.opened >= self.limit:
+        if self.open_count >= self.limit:
             raise PoolFull(
                 f"{self.address}: limit of connections to the endpoint reached"
             )
-        self.opened += 1
+        self.open_count += 1
         connection = EndpointConnection(self.address)
         try:
             connection.open()
         except BaseException:
-            self.opened -= 1
+            self.open_count -= 1
             raise
         return connection
 
@@ -194,11 +194,11 @@
 
     def discard(self, connection):
         """Close a connection that must not be reused."""
-        self.opened -= 1
+        self.open_count -= 1
         connection.close()
 
     def retire(self):
-        """Close idle connections now and the others when they are given back."""
+        """Close idle connections now and others when given back: the endpoint ended."""
         self._closed = True
         self.close_idle()
 
--- a/packages/hingesill-node/hingesill_node/datapath/headers.py
+++ b/packages/hingesill-node/hingesill_node/datapath/headers.py
@@ -18,7 +18,7 @@
 __all__ = [
     "EndpointHeaders",
     "HOP_BY_HOP",
-    "Names",
+    "HeaderNames",
     "RETRY_AFTER",
     "filter_headers",
     "read_flag",
@@ -54,7 +54,7 @@
     leaving: str
 
 
-class Names:
+class HeaderNames:
     """Header names of hingesill's own dialect."""
 
     REQUEST_ID = "Hingesill-Request-Id"
@@ -85,22 +85,22 @@
 )
 SET_BY_NODE = frozenset(
     {
-        Names.REQUEST_ID.lower(),
-        Names.REMAINING.lower(),
-        Names.RETRIES.lower(),
+        HeaderNames.REQUEST_ID.lower(),
+        HeaderNames.REMAINING.lower(),
+        HeaderNames.RETRIES.lower(),
         "content-length",
         "expect",
     }
 )
 SET_BY_ENDPOINT = frozenset(
     {
-        Names.REQUEST_ID.lower(),
-        Names.OUTCOME.lower(),
-        Names.REASON.lower(),
-        Names.RUNNING.lower(),
-        Names.DRAINING.lower(),
-        Names.COLD.lower(),
-        Names.LIMIT.lower(),
+        HeaderNames.REQUEST_ID.lower(),
+        HeaderNames.OUTCOME.lower(),
+        HeaderNames.REASON.lower(),
+        HeaderNames.RUNNING.lower(),
+        HeaderNames.DRAINING.lower(),
+        HeaderNames.COLD.lower(),
+        HeaderNames.LIMIT.lower(),
     }
 )
 MAX_MILLISECONDS = 86_400_000
@@ -109,8 +109,8 @@
 FLAG_SET = "1"
 # Header of refusals in both dialects.
 RETRY_AFTER = "Retry-After"
-# Only Retry-After with this status asks for a back-off from the endpoint; with other
-# statuses it concerns the caller.
+# Endpoints ask nodes to back off only with this status; Retry-After with another one
+# concerns the caller.
 BACKOFF_STATUS = 503
 # A decimal number without a sign or an exponent.
 NUMBER_PATTERN = re.compile(r"[0-9]{1,300}(\.[0-9]{0,300})?|\.[0-9]{1,300}")
--- a/packages/hingesill-node/hingesill_node/datapath/refusals.py
+++ b/packages/hingesill-node/hingesill_node/datapath/refusals.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from hingesill_core.reasons import RefusalReason
-from hingesill_node.datapath.headers import Names
+from hingesill_node.datapath.headers import HeaderNames
 
 __all__ = ["RefusalAnswer", "build_refusal_answer", "is_valid_request_id"]
 
@@ -71,16 +71,16 @@
     content = {"outcome": refusal.outcome.value, "reason": reason.value}
     headers = [
         ("Content-Type", "application/json"),
-        (Names.OUTCOME, refusal.outcome.value),
-        (Names.REASON, reason.value),
+        (HeaderNames.OUTCOME, refusal.outcome.value),
+        (HeaderNames.REASON, reason.value),
     ]
     if is_valid_request_id(request_id):
-        headers.append((Names.REQUEST_ID, request_id))
+        headers.append((HeaderNames.REQUEST_ID, request_id))
     if refusal.retry_after is not None:
         milliseconds = math.ceil(refusal.retry_after * 1000)
         content["retry_after_ms"] = milliseconds
         headers.append(("Retry-After", str(math.ceil(refusal.retry_after))))
-        headers.append((Names.RETRY_AFTER, str(milliseconds)))
+        headers.append((HeaderNames.RETRY_AFTER, str(milliseconds)))
     body = json.dumps(content).encode() + b"\n"
     closes = reason in CLOSING_REASONS
     return RefusalAnswer(f"{status} {REASON_PHRASES[status]}", headers, body, closes)
--- a/packages/hingesill-node/hingesill_node/datapath/requests.py
+++ b/packages/hingesill-node/hingesill_node/datapath/requests.py
@@ -32,7 +32,7 @@
         try:
             parser.feed_data(b"".join(lines))
         except httptools.HttpParserUpgrade:
-            pass  # Upgrades are not forwarded: a request without one.
+            pass  # Upgrades are not forwarded; handle as a plain request.
         self.method = parser.get_method().decode("ascii")
         self.version = parser.get_http_version()
         self.keep_alive = parser.should_keep_alive()
--- a/packages/hingesill-node/hingesill_node/datapath/server.py
+++ b/packages/hingesill-node/hingesill_node/datapath/server.py
@@ -69,7 +69,7 @@
 
 
 def listen(address, reuse_port):
-    """Return a listening green socket, on the early opened socket if there is one.
+    """Return a listening green socket, from a socket opened early if there is one.
 
     Parameters
     ----------
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_connections.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_connections.py
@@ -16,7 +16,7 @@
     def setUp(self):
         self.now = 0.0
         self.pool = Pool("10.0.0.1:80", 4, lambda: self.now)
-        self.pool.opened = 1
+        self.pool.open_count = 1
 
     def test_a_new_pool_has_no_idle_connection(self):
         self.assertFalse(self.pool.has_idle())
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_responses.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_responses.py
@@ -18,24 +18,24 @@
     listener = green_socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(1)
-    near = green_socket.create_connection(listener.getsockname(), timeout=1.0)
-    far, _ = listener.accept()
+    client = green_socket.create_connection(listener.getsockname(), timeout=1.0)
+    server, _ = listener.accept()
     listener.close()
-    return near, far
+    return client, server
 
 
 class ResponseTests(unittest.TestCase):
     def setUp(self):
-        self.near, self.far = connect()
-        self.addCleanup(self.near.close)
-        self.addCleanup(self.far.close)
+        self.client, self.server = connect()
+        self.addCleanup(self.client.close)
+        self.addCleanup(self.server.close)
 
     def read(self, data, end=None, request_id=None):
         """Return the EndpointResponse with its head read from data that is sent."""
         is_own = None
         if request_id is not None:
             is_own = self.build_check(request_id)
-        response = EndpointResponse(self.near, "GET", is_own)
+        response = EndpointResponse(self.client, "GET", is_own)
         eventlet.spawn(self.send, data, end)
         response.read_head()
         return response
@@ -44,12 +44,12 @@
         return lambda response: response.get("Id") == request_id
 
     def send(self, data, end):
-        self.far.sendall(data)
+        self.server.sendall(data)
         eventlet.sleep(0.02)
         if end == "reset":
-            self.far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            self.server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         if end is not None:
-            self.far.close()
+            self.server.close()
 
     def test_unframed_response_ends_with_its_connection(self):
         response = self.read(b"HTTP/1.1 200 OK\r\n\r\nwhole", "close")
@@ -77,8 +77,8 @@
 
     def test_unsolicited_response_does_not_change_the_complete_one(self):
         own = b"HTTP/1.1 200 OK\r\nId: new\r\nContent-Length: 3\r\n\r\nnew"
-        more = b"HTTP/1.1 404 No\r\nId: old\r\nContent-Length: 3\r\n\r\nold"
-        response = self.read(own + more, request_id="new")
+        unsolicited = b"HTTP/1.1 404 No\r\nId: old\r\nContent-Length: 3\r\n\r\nold"
+        response = self.read(own + unsolicited, request_id="new")
         self.assertEqual(response.read_short(100), b"new")
         self.assertEqual(response.status, 200)
         self.assertEqual(response.reason, "OK")
@@ -98,10 +98,10 @@
 
 class WaitTests(unittest.TestCase):
     def test_two_ready_sockets_end_one_wait(self):
-        first, far_first = connect()
-        second, far_second = connect()
-        far_first.sendall(b"x")
-        far_second.sendall(b"x")
+        first, first_server = connect()
+        second, second_server = connect()
+        first_server.sendall(b"x")
+        second_server.sendall(b"x")
         eventlet.sleep(0.02)
         self.assertIn(wait_any([first, second], 1.0), (first, second))
         # A second callback would end this sleep early.
@@ -109,11 +109,11 @@
             before = eventlet.hubs.get_hub().clock()
             eventlet.sleep(0.05)
         self.assertGreaterEqual(eventlet.hubs.get_hub().clock() - before, 0.05)
-        for sock in (first, second, far_first, far_second):
+        for sock in (first, second, first_server, second_server):
             sock.close()
 
     def test_none_after_the_timeout(self):
-        near, far = connect()
-        self.assertIsNone(wait_any([near], 0.02))
-        near.close()
-        far.close()
+        client, server = connect()
+        self.assertIsNone(wait_any([client], 0.02))
+        client.close()
+        server.close()
--- a/packages/hingesill-node/hingesill_node/datapath/wire.py
+++ b/packages/hingesill-node/hingesill_node/datapath/wire.py
@@ -16,7 +16,7 @@
     SET_BY_ENDPOINT,
     SET_BY_NODE,
     EndpointHeaders,
-    Names,
+    HeaderNames,
     read_backoff,
     read_flag,
     read_limit,
@@ -65,11 +65,11 @@
     request_drops = SET_BY_NODE
     answer_drops = SET_BY_ENDPOINT
     endpoint_headers = EndpointHeaders(
-        load=Names.RUNNING,
-        warmth=Names.COLD,
-        limit=Names.LIMIT,
+        load=HeaderNames.RUNNING,
+        warmth=HeaderNames.COLD,
+        limit=HeaderNames.LIMIT,
         backoff=RETRY_AFTER,
-        leaving=Names.DRAINING,
+        leaving=HeaderNames.DRAINING,
     )
     retries_environ = "HTTP_HINGESILL_RETRIES"
 
@@ -88,7 +88,7 @@
         return read_milliseconds(environ, "HTTP_HINGESILL_REMAINING_MS")
 
     def may_retry(self, environ):
-        """Return whether the node may retry, as no client layer before it does."""
+        """Return whether the node may retry: no layer nearer to the caller does."""
         return environ.get(self.retries_environ) != RETRIES_TAKEN
 
     def build_request_headers(self, request_id, endpoint, remaining):
@@ -104,14 +104,14 @@
             Remaining seconds of the request.
         """
         return [
-            (Names.REQUEST_ID, request_id),
-            (Names.REMAINING, str(max(0, int(remaining * 1000)))),
-            (Names.RETRIES, RETRIES_TAKEN),
+            (HeaderNames.REQUEST_ID, request_id),
+            (HeaderNames.REMAINING, str(max(0, int(remaining * 1000)))),
+            (HeaderNames.RETRIES, RETRIES_TAKEN),
         ]
 
     def build_answer_headers(self, request_id):
         """Return the headers that the node adds to an endpoint's response."""
-        return [(Names.REQUEST_ID, request_id), (Names.OUTCOME, "answered")]
+        return [(HeaderNames.REQUEST_ID, request_id), (HeaderNames.OUTCOME, "answered")]
 
     def is_own_answer(self, response, request_id):
         """Return whether a response may belong to the request."""
@@ -128,7 +128,8 @@
     def read_signals(self, response, now, own_in_flight):
         """Return the Signals in the head of a response."""
         not_run = (
-            response.status == REFUSED_STATUS and response.get(Names.OUTCOME) == NOT_RUN
+            response.status == REFUSED_STATUS
+            and response.get(HeaderNames.OUTCOME) == NOT_RUN
         )
         names = self.endpoint_headers
         return Signals(
