--- a/packages/hingesill-node/hingesill_node/datapath/connections.py
+++ b/packages/hingesill-node/hingesill_node/datapath/connections.py
@@ -136,7 +136,7 @@
         self._closed = False
         self.open_count = 0
 
-    def take(self):
+    def acquire(self):
         """Return an open connection, or raise ConnectFailed.
 
         Notes
@@ -173,13 +173,13 @@
         """Return whether there is a connection that was not idle for too long."""
         return bool(self._idle) and self._idle[-1].idle_until >= self._clock()
 
-    def give_back(self, connection, idle_seconds=None):
+    def release(self, connection, idle_seconds=None):
         """Return a connection to the pool after its response was read completely.
 
         Parameters
         ----------
         connection : EndpointConnection
-            Connection that `take` returned.
+            Connection that `acquire` returned.
         idle_seconds : float or None
             Keep-alive timeout set by the endpoint, or None.
         """
@@ -198,7 +198,7 @@
         connection.close()
 
     def retire(self):
-        """Close idle connections now and others when given back: the endpoint ended."""
+        """Close idle connections now and others when released: the endpoint ended."""
         self._closed = True
         self.close_idle()
 
--- a/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
@@ -127,9 +127,9 @@
         connection = None
         response = None
         try:
-            connection = pool.take()
+            connection = pool.acquire()
             if not self.binding.may_query(endpoint, pool.born, self.runner.clock()):
-                pool.give_back(connection)
+                pool.release(connection)
                 return
             reply, response = self._call(endpoint, connection)
         except PoolFull:
@@ -196,4 +196,4 @@
         if send is not None and self._hand(send.ticket, Found(send, connection)):
             return
         if connection is not None:
-            pool.give_back(connection, response.idle_seconds)
+            pool.release(connection, response.idle_seconds)
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -182,7 +182,7 @@
         pool = self.find_pool(send.endpoint)
         self.settle(send, SendResult(SendStatus.CANCELLED))
         if connection is not None and pool is not None:
-            pool.give_back(connection)
+            pool.release(connection)
 
     def get_time_to_suspicion(self, send, now):
         """Return the seconds until an answer takes suspiciously long."""
--- a/packages/hingesill-node/hingesill_node/datapath/sends.py
+++ b/packages/hingesill-node/hingesill_node/datapath/sends.py
@@ -134,7 +134,7 @@
         if connection is not None:
             if keep:
                 idle = live.response.idle_seconds if live.response else None
-                live.pool.give_back(connection, idle)
+                live.pool.release(connection, idle)
             else:
                 live.pool.discard(connection)
         self.runner.settle(live.send, result)
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_connections.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_connections.py
@@ -21,11 +21,11 @@
     def test_a_new_pool_has_no_idle_connection(self):
         self.assertFalse(self.pool.has_idle())
 
-    def test_a_connection_given_back_is_idle(self):
-        self.pool.give_back(FakeConnection())
+    def test_a_released_connection_is_idle(self):
+        self.pool.release(FakeConnection())
         self.assertTrue(self.pool.has_idle())
 
     def test_a_connection_that_was_idle_too_long_does_not_count(self):
-        self.pool.give_back(FakeConnection())
+        self.pool.release(FakeConnection())
         self.now = IDLE_SECONDS + 0.1
         self.assertFalse(self.pool.has_idle())
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
@@ -29,7 +29,7 @@
     def __init__(self):
         self.discarded = []
 
-    def take(self):
+    def acquire(self):
         return "connection"
 
     def discard(self, connection):
@@ -63,13 +63,13 @@
         self.connection = RecordingConnection()
         self.kept = []
 
-    def take(self):
+    def acquire(self):
         dispatcher = self.runner.dispatcher
         now = self.runner.clock()
         dispatcher.service_availability.note("i1", 0, RequestedBackoff(3.0), False, now)
         return self.connection
 
-    def give_back(self, connection, idle_seconds=None):
+    def release(self, connection, idle_seconds=None):
         self.kept.append(connection)
 
     def discard(self, connection):
@@ -184,7 +184,7 @@
         def connect(live):
             if settle_before_connecting:
                 self.exchange._cancel_all()
-            live.connection = live.pool.take()
+            live.connection = live.pool.acquire()
 
         def send_request(live, *_):
             self.exchange._cancel_all()
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
@@ -92,7 +92,7 @@
     def __init__(self, connection):
         self.connection = connection
 
-    def take(self):
+    def acquire(self):
         return self.connection
 
     def discard(self, connection):
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_suspension.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_suspension.py
@@ -59,7 +59,7 @@
     def test_a_connection_that_was_idle_too_long_is_not_used(self):
         pool = self.runner.find_pool("i1")
         pool.open_count = 1
-        pool.give_back(IdleConnection(), idle_seconds=4.0)
+        pool.release(IdleConnection(), idle_seconds=4.0)
         self.assertTrue(pool.has_idle())
         self.clock.suspended = SUSPENDED_SECONDS
         self.assertFalse(pool.has_idle())
--- a/packages/hingesill-node/hingesill_node/datapath/transport.py
+++ b/packages/hingesill-node/hingesill_node/datapath/transport.py
@@ -17,7 +17,7 @@
 
 
 def connect(live):
-    """Take a connection from the pool unless the send has one already.
+    """Acquire a connection from the pool unless the send has one already.
 
     Raises
     ------
@@ -25,7 +25,7 @@
         If no connection could be opened.
     """
     if live.connection is None:
-        live.connection = live.pool.take()
+        live.connection = live.pool.acquire()
 
 
 def send_request(live, request, now, wire):
