--- a/matrix/mutant.py
+++ b/matrix/mutant.py
@@ -110,7 +110,7 @@
             self._probe_services()
 
     prober.Prober._is_due = lambda self, name, a_pace: bool(
-        self._pacers.setdefault(name, proberate.ProbeRateLimiter())
+        self._rate_limiters.setdefault(name, proberate.ProbeRateLimiter())
     )
     prober.Prober.run = run_freely
 
--- a/packages/hingesill-node/hingesill_node/datapath/announcements.py
+++ b/packages/hingesill-node/hingesill_node/datapath/announcements.py
@@ -1,8 +1,8 @@
-"""What a node tells others of endpoints: leaving ones, overdue answers.
+"""Announcements of leaving endpoints and overdue answers to other nodes.
 
-Overdue answers go by UDP from hub to hub: they are worth something for a few
-milliseconds only, and a lost one costs nothing but that. What is told changes
-no promise, only which endpoint is preferred for a moment.
+Overdue answers are sent as UDP datagrams from node to node: a report is useful for a
+few milliseconds only, and its loss does no other harm. Reports affect no guarantee,
+only which endpoint is preferred for a moment.
 """
 
 from google.protobuf.message import DecodeError
@@ -11,13 +11,13 @@
 
 __all__ = ["Announcements"]
 
-PAUSE_SECONDS = 0.02
-MOST_PEERS = 32
-MOST_A_SECOND = 200
+SUSPICION_INTERVAL_SECONDS = 0.02
+MAX_PEERS = 32
+MAX_DATAGRAMS_PER_SECOND = 200
 
 
 class Announcements:
-    """Tells and hears of endpoints.
+    """Sends and receives announcements about endpoints.
 
     Parameters
     ----------
@@ -26,9 +26,9 @@
     team : str
         Messages of another team are ignored.
     announce_drain : callable
-        Spreads an endpoint's own sign that it is leaving.
+        Distributes an endpoint's drain notice.
     counters : Counters
-        Gets ``suspicions``.
+        Counts ``suspicions``.
     """
 
     def __init__(self, blackboard, team, announce_drain, counters):
@@ -37,27 +37,27 @@
         self.team = team
         self.announce_drain = announce_drain
         self.is_connected = True
-        self._told = {}
+        self._announced_at = {}
         self._port = None
-        self._hear = None
-        self._second = 0
-        self._sent = 0
+        self._on_suspicion = None
+        self._current_second = 0
+        self._sent_this_second = 0
 
-    def start(self, port, hear):
-        """Begin with the node's socket.
+    def start(self, port, on_suspicion):
+        """Start sending and receiving on the node's socket.
 
         Parameters
         ----------
         port : DatagramPort
-            The node's; what has no other taker is taken here.
-        hear : callable
+            The node's socket; datagrams without another handler are handled here.
+        on_suspicion : callable
             Called with an endpoint's address and a ratio.
         """
         self._port = port
-        self._hear = hear
-        port.register_other(self._take)
+        self._on_suspicion = on_suspicion
+        port.register_other(self._handle_datagram)
 
-    def _take(self, data, sender):
+    def _handle_datagram(self, data, sender):
         try:
             message = pb.Suspicion.FromString(data)
         except DecodeError:
@@ -65,33 +65,36 @@
             return
         if message.team == self.team and message.ratio > 1.0:
             self.counters.add("suspicions", "heard")
-            self._hear(message.endpoint, message.ratio)
+            self._on_suspicion(message.endpoint, message.ratio)
 
     def announce_suspicion(self, endpoint, ratio, now):
-        """Tell other nodes that an endpoint's answer is overdue.
+        """Announce to other nodes that an endpoint's answer is overdue.
 
         Notes
         -----
-        Bounded: once in `PAUSE_SECONDS` an endpoint, to `MOST_PEERS` nodes,
-        `MOST_A_SECOND` datagrams a second in all.
+        Limited to one announcement per endpoint in `SUSPICION_INTERVAL_SECONDS`, to
+        `MAX_PEERS` nodes, and to `MAX_DATAGRAMS_PER_SECOND` in total.
         """
-        if self._port is None or now - self._told.get(endpoint, 0.0) < PAUSE_SECONDS:
+        if (
+            self._port is None
+            or now - self._announced_at.get(endpoint, 0.0) < SUSPICION_INTERVAL_SECONDS
+        ):
             return
-        self._told[endpoint] = now
+        self._announced_at[endpoint] = now
         message = pb.Suspicion(team=self.team, endpoint=endpoint, ratio=ratio)
         data = message.SerializeToString()
         self.counters.add("suspicions", "told")
-        for peer in self.blackboard.peers[:MOST_PEERS]:
+        for peer in self.blackboard.peers[:MAX_PEERS]:
             if not self._may_send(now):
                 return
             try:
                 self._port.send(data, peer)
             except OSError:
-                continue  # A datagram that cannot be sent counts as lost.
+                continue  # Treated like a lost datagram.
 
     def _may_send(self, now):
-        if int(now) != self._second:
-            self._second = int(now)
-            self._sent = 0
-        self._sent += 1
-        return self._sent <= MOST_A_SECOND
+        if int(now) != self._current_second:
+            self._current_second = int(now)
+            self._sent_this_second = 0
+        self._sent_this_second += 1
+        return self._sent_this_second <= MAX_DATAGRAMS_PER_SECOND
--- a/packages/hingesill-node/hingesill_node/datapath/application.py
+++ b/packages/hingesill-node/hingesill_node/datapath/application.py
@@ -94,13 +94,13 @@
             self.runners.get(service), request, self.counters, self.wire, self.clock
         )
         answer = exchange.run()
-        self._log_end(request, service, exchange.story, answer)
+        self._log_end(request, service, exchange.timeline, answer)
         if isinstance(answer, Refusal):
             return self._refuse(environ, start_response, answer, request_id, service)
         self.counters.add("requests", service, Outcome.ANSWERED.value)
         return self._pass_answer(environ, start_response, request, exchange, answer)
 
-    def _log_end(self, request, service, story, answer):
+    def _log_end(self, request, service, timeline, answer):
         """Write the request's line: what was decided, by what, and how it ended."""
         ticket = request.ticket
         seconds = self.clock() - ticket.arrived
@@ -120,9 +120,9 @@
             outcome=answer.outcome.value if refused else answer.status,
             reason=answer.reason.value if refused else "",
             sends=ticket.sends,
-            steps=[str(step) for step in story.steps],
-            steps_left_out=story.left_out,
-            **describe_lost(request, story),
+            steps=[str(step) for step in timeline.steps],
+            steps_left_out=timeline.left_out,
+            **describe_lost(request, timeline),
         )
 
     def _build_request(self, environ, request_id):
@@ -252,9 +252,9 @@
         return self._refuse(environ, start_response, refusal, "", "")
 
 
-def describe_lost(request, story):
+def describe_lost(request, timeline):
     """Return by what a request that lost an answer is found again in other lines."""
-    if not story.has_lost:
+    if not timeline.has_lost:
         return {}
     return {
         "fingerprints": request.fingerprints,
--- a/packages/hingesill-node/hingesill_node/datapath/availabilitylog.py
+++ b/packages/hingesill-node/hingesill_node/datapath/availabilitylog.py
@@ -1,4 +1,4 @@
-"""Lines and counts of endpoints that ask for a rest or are leaving."""
+"""Logging and counting of endpoints that back off or are leaving."""
 
 import eventlet
 
@@ -6,48 +6,48 @@
 
 __all__ = ["AvailabilityLog"]
 
-# Shortest rest with a line in the log, in seconds.
-SHORTEST_LOGGED = 0.1
+# Shorter back-offs are counted but not logged.
+MIN_LOGGED_BACKOFF_SECONDS = 0.1
 
 
 class AvailabilityLog:
-    """Tells when endpoints stop taking requests of this node, and take them again.
+    """Logs when endpoints become unavailable to this node and available again.
 
     Parameters
     ----------
     clock : callable
-        Seconds, by which rests pass.
+        Monotonic seconds; back-offs end on this clock.
 
     Attributes
     ----------
     counters : Counters or None
-        Gets ``availability``.
+        Counts ``availability``.
     """
 
     def __init__(self, clock):
         self.clock = clock
         self.counters = None
 
-    def note(self, change):
-        """Take an AvailabilityChange."""
-        is_rest = change.backoff is not None
+    def record(self, change):
+        """Count an AvailabilityChange and log it."""
+        is_backoff = change.backoff is not None
         if self.counters is not None:
-            kind = "rest" if is_rest else "leaving"
+            kind = "rest" if is_backoff else "leaving"
             self.counters.add("availability", change.service, kind)
-        if not is_rest:
+        if not is_backoff:
             self._write(Event.ENDPOINT_LEAVING, change)
-        elif change.backoff >= SHORTEST_LOGGED:
+        elif change.backoff >= MIN_LOGGED_BACKOFF_SECONDS:
             self._write(Event.REST_BEGUN, change, seconds=change.backoff)
-            self._await_end(change)
+            self._schedule_end_check(change)
 
-    def _await_end(self, change):
-        left = change.availability.backoff_until - self.clock()
-        eventlet.spawn_after(max(0.0, left), self._look_for_end, change)
+    def _schedule_end_check(self, change):
+        remaining = change.availability.backoff_until - self.clock()
+        eventlet.spawn_after(max(0.0, remaining), self._check_end, change)
 
-    def _look_for_end(self, change):
-        """Write that a rest is over, unless it was made longer."""
+    def _check_end(self, change):
+        """Log the end of a back-off, or check again later if it was extended."""
         if change.availability.is_backing_off(self.clock()):
-            self._await_end(change)
+            self._schedule_end_check(change)
         else:
             self._write(Event.REST_ENDED, change)
 
--- a/packages/hingesill-node/hingesill_node/datapath/hedges.py
+++ b/packages/hingesill-node/hingesill_node/datapath/hedges.py
@@ -1,50 +1,50 @@
-"""A second send that looks for its endpoint beside the first one."""
+"""Hedges that choose their endpoint by a load query."""
 
 from hingesill_core.routing.messages import Send, SendStatus
 
-__all__ = ["AskedHedge"]
+__all__ = ["QueryingHedge"]
 
 
-class AskedHedge:
-    """A second send that first looks for an endpoint, beside the one under way.
+class QueryingHedge:
+    """A second send that queries endpoints while the first send is in flight.
 
     Parameters
     ----------
     exchange : Exchange
-        Of the request.
-    room : WaitingRoom
-        Of the service.
+        The exchange of the request.
+    query_client : LoadQueryClient
+        The load query client of the service.
     """
 
-    def __init__(self, exchange, room):
+    def __init__(self, exchange, query_client):
         self.exchange = exchange
-        self.room = room
+        self.query_client = query_client
         self.is_waiting = True
         self.is_wanted = True
 
-    def run(self, ask):
-        """Wait for an endpoint and send, unless withdrawn meanwhile."""
+    def run(self, query):
+        """Wait for an endpoint, then send unless cancelled in the meantime."""
         exchange = self.exchange
         runner = exchange.runner
-        found = self.room.wait(exchange.request, ask)
+        result = self.query_client.wait(exchange.request, query)
         self.is_waiting = False
-        if not isinstance(found.decision, Send):
+        if not isinstance(result.decision, Send):
             runner.dispatcher.hedging.end(exchange.ticket)
         elif self.is_wanted and not runner.guard.is_suspect(exchange.request):
-            self._start(found)
+            self._start(result)
         else:
-            runner.give_back(found.decision, found.connection)
+            runner.cancel_send(result.decision, result.connection)
         if exchange.hedge is self:
             exchange.hedge = None
 
-    def _start(self, found):
-        """Send to the endpoint that was found."""
-        started = self.exchange.sends.start(found.decision, found.connection)
+    def _start(self, result):
+        """Send to the endpoint of a query result."""
+        started = self.exchange.sends.start(result.decision, result.connection)
         if started is SendStatus.NOT_SENT:
             self.exchange.runner.dispatcher.hedging.end(self.exchange.ticket)
 
-    def withdraw(self):
-        """Send nothing any more."""
+    def cancel(self):
+        """Prevent the send if it has not started."""
         self.is_wanted = False
         if self.is_waiting:
-            self.room.withdraw(self.exchange.ticket)
+            self.query_client.cancel(self.exchange.ticket)
--- a/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
@@ -1,4 +1,4 @@
-"""Carrying out questions, and handing each good reply to a waiting request."""
+"""Execution of load queries and delivery of replies to waiting requests."""
 
 import eventlet
 from eventlet import event as green_event
@@ -9,32 +9,32 @@
 from hingesill_core.routing.messages import Refusal, SendStatus
 from hingesill_node.datapath.callers import is_caller_gone
 from hingesill_node.datapath.connections import ConnectFailed, PoolFull
-from hingesill_node.datapath.messages import Found
+from hingesill_node.datapath.messages import QueryResult
 from hingesill_node.datapath.transport import FIRST_FAULT_STATUS, TRANSPORT_ERRORS
 
-__all__ = ["WaitingRoom"]
+__all__ = ["LoadQueryClient"]
 
-# A reply that takes longer says that the endpoint, or the way to it, is in trouble:
-# many times a reply from another data centre.
-REPLY_SECONDS = 0.25
-# Between two rounds of questions: longer than a reply takes, shorter than a slot of a
-# busy endpoint stays taken.
-ROUND_SECONDS = 0.015
-CALLER_CHECK_SECONDS = 0.05
-LONGEST_BODY = 64 * 1024
+# Many times the round trip to another data centre: a later reply means that the
+# endpoint or the network path to it has a fault.
+REPLY_TIMEOUT_SECONDS = 0.25
+# Longer than a reply takes, and shorter than a request occupies a slot of a busy
+# endpoint.
+QUERY_INTERVAL_SECONDS = 0.015
+CALLER_CHECK_INTERVAL_SECONDS = 0.05
+MAX_BODY_BYTES = 64 * 1024
 
 
-class WaitingRoom:
-    """The requests of one service that wait for a reply that will do.
+class LoadQueryClient:
+    """Queries endpoints' loads for the waiting requests of one service.
 
     Parameters
     ----------
     runner : ServiceRunner
-        The service.
+        The runner of the service.
     wire : OwnFormat
-        The dialect.
+        The header format.
     counters : Counters
-        Gets ``probes``.
+        Counts ``probes`` and ``probes_left_out``.
     """
 
     def __init__(self, runner, wire, counters):
@@ -45,85 +45,85 @@
         self.binding.selection.is_connected = runner.has_idle_connection
         self._events = {}
         self._host = ""
-        self._keeper = None
+        self._query_loop = None
 
-    def wait(self, request, ask):
-        """Carry out an Ask and wait; return what was Found.
+    def wait(self, request, query):
+        """Send load queries and wait; return the QueryResult.
 
         Parameters
         ----------
         request : CallerRequest
-            Its ticket waits.
-        ask : Ask
-            The first questions for it.
+            The waiting request.
+        query : LoadQuery
+            The request's first load queries.
         """
         ticket = request.ticket
         event = self._events[ticket] = green_event.Event()
         self._host = request.host
-        self._ask(ask)
-        if self._keeper is None:
-            self._keeper = eventlet.spawn(self._keep)
+        self._send_queries(query)
+        if self._query_loop is None:
+            self._query_loop = eventlet.spawn(self._repeat_queries)
         while True:
-            found = event.wait(timeout=CALLER_CHECK_SECONDS)
-            if found is not None:
-                return found
+            result = event.wait(timeout=CALLER_CHECK_INTERVAL_SECONDS)
+            if result is not None:
+                return result
             if is_caller_gone(request.caller_socket) and not event.ready():
                 self._events.pop(ticket, None)
                 self.binding.leave(ticket)
                 outcome = Outcome.UNKNOWN if ticket.exposed else Outcome.NOT_RUN
-                return Found(Refusal(RefusalReason.CALLER_GONE, outcome))
+                return QueryResult(Refusal(RefusalReason.CALLER_GONE, outcome))
 
     def offer(self, endpoint, report):
-        """Give a waiting request the slot that an answer has just freed.
+        """Assign the slot that an answer has just freed to a waiting request.
 
         Notes
         -----
-        The answer's report is as fresh as a reply and costs no question. Under
-        load that is how most requests find their endpoint.
+        The answer's report is as fresh as a load reply and needs no query. Under
+        load, most requests get their endpoint this way.
         """
         if not self._events:
             return
         reply = LoadReply(endpoint, SendStatus.ANSWERED, report)
         send = self.binding.take(reply, self.runner.clock())
         if send is not None:
-            self._hand(send.ticket, Found(send))
+            self._deliver(send.ticket, QueryResult(send))
 
     def query_load(self, endpoints):
-        """Ask endpoints, as the budget allows, to learn what they tell."""
+        """Query the load of endpoints within the query budget."""
         count = self.binding.budget.take(len(endpoints), self.runner.clock())
-        self._ask(LoadQuery(tuple(endpoints[:count])))
+        self._send_queries(LoadQuery(tuple(endpoints[:count])))
 
-    def withdraw(self, ticket):
-        """Let a request wait no longer; its green thread goes on with nothing."""
+    def cancel(self, ticket):
+        """End a request's wait; its green thread gets a result without a decision."""
         self.binding.leave(ticket)
-        self._hand(ticket, Found(None))
+        self._deliver(ticket, QueryResult(None))
 
-    def _keep(self):
-        """Ask again and again, and give up in time, while requests wait."""
+    def _repeat_queries(self):
+        """Repeat queries and refuse requests whose time is up, while requests wait."""
         while self._events:
-            eventlet.sleep(ROUND_SECONDS)
+            eventlet.sleep(QUERY_INTERVAL_SECONDS)
             now = self.runner.clock()
             for ticket, decision in self.binding.expire(now):
-                self._hand(ticket, Found(decision))
-            ask = self.binding.next_query(now)
-            if ask is not None:
-                self._ask(ask)
-        self._keeper = None
-
-    def _hand(self, ticket, found):
-        """Wake a waiting request; tell whether it was still there."""
+                self._deliver(ticket, QueryResult(decision))
+            query = self.binding.next_query(now)
+            if query is not None:
+                self._send_queries(query)
+        self._query_loop = None
+
+    def _deliver(self, ticket, result):
+        """Wake a waiting request; return whether it was still waiting."""
         event = self._events.pop(ticket, None)
         if event is not None:
-            event.send(found)
+            event.send(result)
         return event is not None
 
-    def _ask(self, ask):
-        for endpoint in ask.endpoints:
+    def _send_queries(self, query):
+        for endpoint in query.endpoints:
             pool = self.runner.find_pool(endpoint)
             if pool is not None:
-                eventlet.spawn_n(self._ask_one, endpoint, pool)
+                eventlet.spawn_n(self._query_endpoint, endpoint, pool)
 
-    def _ask_one(self, endpoint, pool):
+    def _query_endpoint(self, endpoint, pool):
         connection = None
         response = None
         try:
@@ -143,13 +143,13 @@
             pool.discard(connection)
             connection = None
         reply = replace(reply, born=pool.born)
-        self._take(reply, pool, connection, response)
+        self._handle_reply(reply, pool, connection, response)
 
     def _call(self, endpoint, connection):
         """Return the reply, and the response if the connection can be kept."""
         service = self.runner.dispatcher.service
         self.counters.add("probes", service.name)
-        connection.set_time_limit(REPLY_SECONDS)
+        connection.set_time_limit(REPLY_TIMEOUT_SECONDS)
         connection.collect()
         connection.begin("GET", service.probes.path)
         connection.putheader("Host", self._host or connection.address)
@@ -157,12 +157,12 @@
         sent_at = self.runner.clock()
         connection.flush()
         response = connection.read_head()
-        response.read_short(LONGEST_BODY)
+        response.read_short(MAX_BODY_BYTES)
         if not self.wire.is_answer_of(response, endpoint):
             return self._read_refusal(endpoint, response), None
-        own = self.runner.count_in_flight(endpoint)
-        signals = self.wire.read_signals(response, self.runner.clock(), own)
-        # An endpoint that is asked for its state and tells nothing of warmth is warm.
+        in_flight = self.runner.count_in_flight(endpoint)
+        signals = self.wire.read_signals(response, self.runner.clock(), in_flight)
+        # An endpoint whose reply has no warm-up time is warm.
         warm_in = signals.warm_in or 0.0
         is_unhealthy = response.status >= FIRST_FAULT_STATUS
         reply = LoadReply(
@@ -179,21 +179,24 @@
         return reply, response if response.can_keep else None
 
     def _read_refusal(self, endpoint, response):
-        """Return the Reply of an answer that does not name the endpoint.
+        """Return the LoadReply of an answer that does not name the endpoint.
 
         Notes
         -----
-        A question may be refused as a request is, by whoever has the address.
+        A load query may be refused like a request, by another server that listens on
+        the address.
         """
         signals = self.wire.read_signals(response, self.runner.clock(), 0)
         if not (self.wire.is_unsigned(response) and signals.backoff.seconds):
             return LoadReply(endpoint, SendStatus.LOST)
         return LoadReply(endpoint, SendStatus.REFUSED, backoff=signals.backoff)
 
-    def _take(self, reply, pool, connection, response):
-        """Give the reply, and the connection that brought it, to a request."""
+    def _handle_reply(self, reply, pool, connection, response):
+        """Assign the reply and its connection to a waiting request."""
         send = self.binding.take(reply, self.runner.clock())
-        if send is not None and self._hand(send.ticket, Found(send, connection)):
+        if send is not None and self._deliver(
+            send.ticket, QueryResult(send, connection)
+        ):
             return
         if connection is not None:
             pool.give_back(connection, response.idle_seconds)
--- a/packages/hingesill-node/hingesill_node/datapath/messages.py
+++ b/packages/hingesill-node/hingesill_node/datapath/messages.py
@@ -1,26 +1,26 @@
-"""What the parts of the data path hand to each other."""
+"""Messages between the parts of the data path."""
 
 from msgspec import Struct, field
 
 from hingesill_core.crashes.fingerprint import describe_request
 from hingesill_core.routing.messages import Send, Ticket
 
-__all__ = ["Answer", "Body", "CallerRequest", "Found", "LiveSend"]
+__all__ = ["Answer", "Body", "CallerRequest", "QueryResult", "LiveSend"]
 
 
 class Body(Struct):
-    """A request's body: whole when it is small, else read as it is sent.
+    """A request's body, buffered if it is small, else read while it is sent.
 
     Parameters
     ----------
     whole : bytes or None
-        The body if it was read at once.
+        The body if it was buffered.
     length : int or None
-        Its length, None if the caller sends chunks.
+        Length in bytes; None if the caller sends chunks.
     source : object
-        Has ``read``; used if ``whole`` is None.
+        Object with a ``read`` method, used if ``whole`` is None.
     beginning : bytes
-        Of a body that is not whole, as far as it was read before anything was sent.
+        Bytes of an unbuffered body that were read before the first send.
     """
 
     whole: bytes | None
@@ -30,20 +30,20 @@
 
 
 class CallerRequest(Struct):
-    """A request as the node passes it on.
+    """A request as the node forwards it.
 
     Parameters
     ----------
     request_id : str
-        Of this try.
+        Identifier of this attempt.
     method, target, host : str
-        As they came.
+        As received from the caller.
     headers : list of tuple
-        That are passed on.
+        The forwarded headers.
     body : Body
-        What follows them.
+        The request's body.
     ticket : Ticket
-        The request as the decisions see it.
+        The request's state in the dispatcher.
     caller_socket : GreenSocket or None
         The caller's connection.
     caller : str
@@ -63,7 +63,7 @@
 
     @property
     def fingerprints(self):
-        """By what the request is known again, whichever node it comes to."""
+        """Fingerprints by which every node recognizes the request."""
         if not self._fingerprints:
             body = self.body.whole or self.body.beginning
             self._fingerprints = describe_request(
@@ -73,7 +73,7 @@
 
 
 class Answer(Struct):
-    """An endpoint's answer, its body whole or still to be read.
+    """An endpoint's answer, with its body buffered or still to be read.
 
     Parameters
     ----------
@@ -82,11 +82,11 @@
     reason : str
         The reason phrase.
     headers : list of tuple
-        As they came.
+        As received from the endpoint.
     body : bytes or None
-        The whole body, or None if ``live`` is still to be read from.
+        The whole body, or None if it is still to be read from ``live``.
     live : LiveSend or None
-        Set while the answer is being read.
+        The send whose response holds the rest of the body, if any.
     """
 
     status: int
@@ -96,15 +96,15 @@
     live: object = None
 
 
-class Found(Struct, frozen=True):
-    """What a waiting request got.
+class QueryResult(Struct, frozen=True):
+    """Result of load queries for a waiting request.
 
     Parameters
     ----------
-    decision : Send, Hold, Refusal or None
-        What to do; None if the request no longer waits.
+    decision : Send, Queued, Refusal or None
+        The decision; None if the wait was cancelled.
     connection : EndpointConnection or None
-        That of the reply which the Send goes by: it was alive just now.
+        The connection that carried the load reply, known to be alive.
     """
 
     decision: object
@@ -112,7 +112,7 @@
 
 
 class LiveSend(Struct, eq=False):
-    """A send on its way, with the connection that carries it."""
+    """A send in flight, with the connection that carries it."""
 
     send: Send
     pool: object
--- a/packages/hingesill-node/hingesill_node/datapath/prober.py
+++ b/packages/hingesill-node/hingesill_node/datapath/prober.py
@@ -1,4 +1,8 @@
-"""Sends probes: only with a share, only within the pace, only where they tell."""
+"""Probing of endpoints.
+
+A probe needs a probe share and is limited by its service's probe rate. It is sent only
+to an endpoint whose state it can clarify.
+"""
 
 import eventlet
 
@@ -13,8 +17,8 @@
 
 __all__ = ["Prober"]
 
-ROUND_SECONDS = 0.25
-ANSWER_SECONDS = 1.0
+CHECK_INTERVAL_SECONDS = 0.25
+RESPONSE_TIMEOUT_SECONDS = 1.0
 
 
 class Prober:
@@ -23,11 +27,11 @@
     Parameters
     ----------
     blackboard : Blackboard
-        Its ``probe_share`` is the share held, or None.
+        Its ``probe_share`` is the node's current share, or None.
     runners : RunnerTable
         The services.
     counters : Counters
-        Gets ``probes``.
+        Counts ``probes``.
     """
 
     def __init__(self, blackboard, runners, counters):
@@ -35,12 +39,12 @@
         self.runners = runners
         self.counters = counters
         self.wire = OwnFormat()
-        self._pacers = {}
+        self._rate_limiters = {}
 
     def run(self):
-        """Work until the process ends."""
+        """Probe until the process ends."""
         while True:
-            eventlet.sleep(ROUND_SECONDS)
+            eventlet.sleep(CHECK_INTERVAL_SECONDS)
             if self.blackboard.probe_share is not None:
                 self._probe_services()
 
@@ -48,26 +52,26 @@
         for name, runner in list(self.runners.runners.items()):
             service = runner.dispatcher.service
             slots = sum(endpoint.slots for endpoint in service.endpoints)
-            pace = compute_probe_rate(service.probes, slots)
-            if pace is None:
+            rate = compute_probe_rate(service.probes, slots)
+            if rate is None:
                 continue
             address = choose_probe_target(runner.dispatcher, runner.clock())
-            if address is not None and self._is_due(name, pace):
-                eventlet.spawn(self._probe, name, runner, address, pace)
+            if address is not None and self._is_due(name, rate):
+                eventlet.spawn(self._probe, name, runner, address, rate)
 
-    def _is_due(self, name, pace):
-        """Tell whether a probe is likely to be allowed, before connecting."""
-        pacer = self._pacers.setdefault(name, ProbeRateLimiter())
+    def _is_due(self, name, rate):
+        """Return whether a probe is likely to be allowed, before connecting."""
+        rate_limiter = self._rate_limiters.setdefault(name, ProbeRateLimiter())
         share = self.blackboard.probe_share
         now = read_boot_time()
-        return now >= max(pacer.next_at, share.acquired_at + pace.interval)
+        return now >= max(rate_limiter.next_at, share.acquired_at + rate.interval)
 
-    def _probe(self, name, runner, address, pace):
+    def _probe(self, name, runner, address, rate):
         connection = EndpointConnection(address)
         try:
             connection.open()
-            connection.set_time_limit(ANSWER_SECONDS)
-            result = self._send(name, runner, address, pace, connection)
+            connection.set_time_limit(RESPONSE_TIMEOUT_SECONDS)
+            result = self._send(name, runner, address, rate, connection)
         except ConnectFailed:
             result = SendResult(SendStatus.CONNECT_FAILED)
         except TRANSPORT_ERRORS:
@@ -77,11 +81,11 @@
         if result is not None:
             runner.dispatcher.record_probe(address, result, runner.clock())
 
-    def _send(self, name, runner, address, pace, connection):
-        """Send and return what came, or None if the budget does not allow it.
+    def _send(self, name, runner, address, rate, connection):
+        """Send a probe; return its result, or None if it is not allowed.
 
-        The share, the pace and whether the endpoint asked for a rest are checked after
-        the connection is open, right before the request leaves.
+        The share, the rate and the endpoint's back-off are checked after the connection
+        is open, right before the request is sent.
         """
         service = runner.dispatcher.service
         connection.collect()
@@ -89,11 +93,11 @@
         connection.putheader("Host", address)
         connection.endheaders()
         share = self.blackboard.probe_share
-        pacer = self._pacers[name]
+        rate_limiter = self._rate_limiters[name]
         state = runner.dispatcher.states.get(address)
         if state is None or state.availability.is_backing_off(runner.clock()):
             return None
-        if share is None or not pacer.try_acquire(share, pace, read_boot_time()):
+        if share is None or not rate_limiter.try_acquire(share, rate, read_boot_time()):
             return None
         connection.flush()
         self.counters.add("probes", name)
--- a/packages/hingesill-node/hingesill_node/datapath/story.py
+++ b/packages/hingesill-node/hingesill_node/datapath/requesttimeline.py
@@ -1,21 +1,21 @@
-"""What was decided about one request, in order, for its line in the log."""
+"""The steps of one request, in order, for its log line."""
 
 from enum import Enum
 
 from msgspec import Struct, field
 
-__all__ = ["Step", "StepKind", "Story", "describe_end", "describe_report"]
+__all__ = ["Step", "StepKind", "RequestTimeline", "describe_status", "describe_report"]
 
-MOST_STEPS = 24
-# Characters of an endpoint's header in a step.
-LONGEST_VALUE = 40
+MAX_STEPS = 24
+# Maximum length of an endpoint's header value in a step, in characters.
+MAX_HEADER_VALUE_LENGTH = 40
 
 
 class StepKind(str, Enum):
-    """What happened."""
+    """Kind of a step of a request."""
 
-    ASKED = "asked"
-    HELD = "held"
+    QUERIED = "asked"
+    QUEUED = "held"
     SENT = "sent"
     HEDGED = "hedged"
     ENDED = "ended"
@@ -30,13 +30,13 @@
     Parameters
     ----------
     milliseconds : int
-        Since the request arrived.
+        Time since the request arrived.
     kind : StepKind
-        What happened.
+        Kind of the step.
     endpoint : str
-        Whom it concerns, if any.
+        Address of the endpoint concerned, if any.
     detail : str
-        What decided it.
+        Evidence for the decision, or its reason.
     """
 
     milliseconds: int
@@ -45,23 +45,23 @@
     detail: str = ""
 
     def __str__(self):
-        words = (f"{self.milliseconds}ms", self.kind.value, self.endpoint, self.detail)
-        return " ".join(word for word in words if word)
+        parts = (f"{self.milliseconds}ms", self.kind.value, self.endpoint, self.detail)
+        return " ".join(part for part in parts if part)
 
 
-class Story(Struct):
-    """The steps of one request, the first ones if there are very many.
+class RequestTimeline(Struct):
+    """The first `MAX_STEPS` steps of one request.
 
     Attributes
     ----------
     started : float
-        Seconds of the node's clock.
+        Arrival time in seconds of the node's clock.
     steps : list of Step
-        In order.
+        The steps in order.
     left_out : int
-        Steps beyond the bound.
+        Number of steps beyond `MAX_STEPS`.
     has_lost : bool
-        An endpoint gave no answer.
+        Whether a send lost its answer.
     """
 
     started: float
@@ -71,7 +71,7 @@
 
     def add(self, kind, now, endpoint="", detail=""):
         """Add a step."""
-        if len(self.steps) >= MOST_STEPS:
+        if len(self.steps) >= MAX_STEPS:
             self.left_out += 1
             return
         milliseconds = round((now - self.started) * 1000)
@@ -85,17 +85,17 @@
     return f"{report.running}/{report.slots} x{report.slowness:.2g}"
 
 
-def describe_end(end, response):
-    """Return how a send ended as text, with the rest that its answer asks for.
+def describe_status(status, response):
+    """Return a send's status as text, with its answer's Retry-After if any.
 
     Parameters
     ----------
-    end : SendStatus
-        How it ended.
+    status : SendStatus
+        The send's status.
     response : EndpointResponse or None
-        None if no head came.
+        None if no response head was received.
     """
     backoff = None if response is None else response.get("Retry-After")
     if backoff is None:
-        return end.value
-    return f"{end.value} retry-after {backoff[:LONGEST_VALUE]}"
+        return status.value
+    return f"{status.value} retry-after {backoff[:MAX_HEADER_VALUE_LENGTH]}"
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -1,4 +1,4 @@
-"""A service at this node: its dispatcher, its connections and held requests."""
+"""A service at this node: its dispatcher, connections and queued requests."""
 
 import time
 
@@ -12,43 +12,43 @@
 from hingesill_node.crashes.requestguard import RequestGuard
 from hingesill_node.datapath.callers import is_caller_gone
 from hingesill_node.datapath.connections import Pool
-from hingesill_node.datapath.loadqueries import WaitingRoom
+from hingesill_node.datapath.loadqueries import LoadQueryClient
 from hingesill_node.telemetry.events import Event, log_event
 
 __all__ = ["ServiceRunner"]
 
-TICK_SECONDS = 0.002
-SUSPICION_REPEAT_SECONDS = 0.02
-CALLER_CHECK_SECONDS = 0.05
-# Between two lines in the log for headers that can't be read, in seconds.
-COMPLAINT_SECONDS = 5.0
+EXPIRY_CHECK_INTERVAL_SECONDS = 0.002
+SUSPICION_INTERVAL_SECONDS = 0.02
+CALLER_CHECK_INTERVAL_SECONDS = 0.05
+# Minimum interval between log lines about invalid headers, in seconds.
+LOG_INTERVAL_SECONDS = 5.0
 
 
 class ServiceRunner:
-    """Carries a dispatcher's decisions to the requests that wait for them.
+    """Delivers a dispatcher's decisions to the requests that wait for them.
 
     Parameters
     ----------
     service : Service
-        The declaration in force.
+        The service's current declaration.
     fleet : FleetView
         The node and its fleet.
     rng : random.Random
-        For the dispatcher.
+        Source of randomness of the dispatcher.
     announce : Announcements
-        Told of endpoints that leave and of overdue answers.
+        Sends leaving endpoints and overdue answers to other nodes.
     query_pool : QueryBudget or None
-        Shared with other services of the node.
+        Budget of load queries, shared by all services of the node.
     curves : LatencyCurves or None
-        Of all services of the node.
+        Latency curves, shared by all services of the node.
     clock : callable
         Monotonic seconds.
     guard : RequestGuard or None
-        Knows which requests must not be sent; shared by all services.
+        Decides which requests must not be sent; shared by all services.
     limits : ServiceLimits or None
-        What the service's endpoints in need still take.
+        Rate limits of the service's endpoints.
     availabilities : AvailabilityRegistry or None
-        Of all endpoints' lives that the node knows.
+        Availability of each known incarnation of an endpoint.
     """
 
     def __init__(
@@ -68,17 +68,17 @@
         self.dispatcher = Dispatcher(
             service, fleet, rng, query_pool, curves, limits, availabilities
         )
-        self._complain_from = 0.0
+        self._next_log_at = 0.0
         self.announce = announce
         self.clock = clock
         self.pools = {}
-        self.held = {}
+        self.queued = {}
         self.expiry_loop = None
-        self.room = None
+        self.query_client = None
         self._limit_pools(service, fleet)
 
     def configure(self, service, fleet):
-        """Put a new declaration or view of the fleet in force."""
+        """Apply a new declaration or view of the fleet."""
         self.dispatcher.configure(service, fleet)
         self._limit_pools(service, fleet)
         self.pump()
@@ -90,9 +90,11 @@
             )
             for endpoint in service.endpoints
         }
-        lives = {endpoint.identity: endpoint.born for endpoint in service.endpoints}
+        incarnations = {
+            endpoint.identity: endpoint.born for endpoint in service.endpoints
+        }
         for identity, pool in list(self.pools.items()):
-            if lives.get(identity) != pool.born:
+            if incarnations.get(identity) != pool.born:
                 self.pools.pop(identity).retire()
         for endpoint in service.endpoints:
             identity = endpoint.identity
@@ -105,15 +107,15 @@
 
     @property
     def slots(self):
-        """What is known of the slots of the service's endpoints."""
+        """The ConcurrencyModel of the service's endpoints."""
         return self.dispatcher.binding.slots
 
     def find_pool(self, identity):
-        """Return the connections to an endpoint, or None if it is gone."""
+        """Return the connection pool of an endpoint, or None if it is gone."""
         return self.pools.get(identity)
 
     def has_idle_connection(self, identity):
-        """Tell whether a connection to an endpoint waits for its next use."""
+        """Return whether there is an idle connection to an endpoint."""
         pool = self.pools.get(identity)
         return pool is not None and pool.has_idle()
 
@@ -122,41 +124,45 @@
         state = self.dispatcher.states.get(identity)
         return state.in_flight if state is not None else 1
 
-    def get_room(self, wire, counters):
-        """Return where the service's requests wait for replies."""
-        if self.room is None:
-            self.room = WaitingRoom(self, wire, counters)
-        return self.room
+    def get_query_client(self, wire, counters):
+        """Return the service's LoadQueryClient, created on first use."""
+        if self.query_client is None:
+            self.query_client = LoadQueryClient(self, wire, counters)
+        return self.query_client
 
     def settle(self, send, result):
-        """Hand a send's end to the dispatcher and start what can go now."""
+        """Pass a send's result to the dispatcher and start queued requests."""
         state = self.dispatcher.find_state(send)
         was_open = state is None or state.health.is_open()
         self.dispatcher.settle(send, result, self.clock())
         if state is not None and state.health.is_open() != was_open:
             event = Event.ENDPOINT_EJECTED if was_open else Event.ENDPOINT_BACK
             log_event(event, endpoint=send.endpoint)
-        if result.report is not None and self.room is not None and state is not None:
-            self.room.offer(send.endpoint, result.report)
-        if self.held:
+        if (
+            result.report is not None
+            and self.query_client is not None
+            and state is not None
+        ):
+            self.query_client.offer(send.endpoint, result.report)
+        if self.queued:
             self.pump()
 
     def record_head(self, send, result):
-        """Take what an answer's head says on further requests, before its body comes.
+        """Apply the limit, back-off and drain headers of an answer before its body.
 
         Parameters
         ----------
         send : Send
-            That was answered.
+            The send that was answered.
         result : SendResult
-            Read from the head.
+            The result read from the answer's head.
         """
         now = self.clock()
         limit, backoff = result.limit, result.backoff
         if limit is not None and not limit.is_valid:
-            self._complain(Event.LIMIT_INVALID, send.endpoint, now)
+            self._log_invalid_header(Event.LIMIT_INVALID, send.endpoint, now)
         if not backoff.is_valid:
-            self._complain(Event.REST_INVALID, send.endpoint, now)
+            self._log_invalid_header(Event.REST_INVALID, send.endpoint, now)
         self.dispatcher.record_limit(send, limit, now)
         self.dispatcher.service_availability.note(
             send.endpoint, send.born, backoff, result.leaving, now
@@ -166,34 +172,34 @@
             self._close_idle(send)
 
     def _close_idle(self, send):
-        """Close idle connections to a life that is leaving."""
+        """Close idle connections to an incarnation that is leaving."""
         pool = self.pools.get(send.endpoint)
         if pool is not None and pool.born == send.born:
             pool.close_idle()
 
-    def _complain(self, event, endpoint, now):
-        """Write a line for a header that can't be read, unless there was one lately."""
-        if now >= self._complain_from:
-            self._complain_from = now + COMPLAINT_SECONDS
+    def _log_invalid_header(self, event, endpoint, now):
+        """Log an invalid header, at most once per interval."""
+        if now >= self._next_log_at:
+            self._next_log_at = now + LOG_INTERVAL_SECONDS
             log_event(event, endpoint=endpoint)
 
-    def give_back(self, send, connection):
-        """Leave an endpoint that was found for a send as it is."""
+    def cancel_send(self, send, connection):
+        """Cancel a send that was not started, and return its connection."""
         pool = self.find_pool(send.endpoint)
         self.settle(send, SendResult(SendStatus.CANCELLED))
         if connection is not None and pool is not None:
             pool.give_back(connection)
 
     def get_time_to_suspicion(self, send, now):
-        """Return the seconds until an answer takes suspiciously long."""
+        """Return the seconds until an answer is suspiciously late."""
         if not self.announce.is_connected:
             return float("inf")
         ratio = self.dispatcher.view.get_suspicious_ratio()
-        left = send.started + ratio * send.expected - now
-        return left if left > 0 else SUSPICION_REPEAT_SECONDS
+        remaining = send.started + ratio * send.expected - now
+        return remaining if remaining > 0 else SUSPICION_INTERVAL_SECONDS
 
     def suspect(self, send, now):
-        """Tell other nodes of an answer that takes far longer than typical."""
+        """Announce an answer that takes far longer than expected to other nodes."""
         if not self.announce.is_connected:
             return
         ratio = (now - send.started) / send.expected
@@ -202,37 +208,37 @@
         self.announce.announce_suspicion(send.endpoint, ratio, now)
 
     def pump(self):
-        """Wake the held requests that can go now."""
+        """Wake the queued requests that can be sent now."""
         for send in self.dispatcher.pump(self.clock()):
-            self.held.pop(send.ticket).send(send)
+            self.queued.pop(send.ticket).send(send)
 
-    def wait_held(self, request):
-        """Wait until a held request is sent or refused; return the decision."""
+    def wait_queued(self, request):
+        """Wait until a queued request is sent or refused; return the decision."""
         ticket = request.ticket
-        event = self.held[ticket] = green_event.Event()
+        event = self.queued[ticket] = green_event.Event()
         if self.expiry_loop is None:
-            self.expiry_loop = eventlet.spawn(self._keep)
+            self.expiry_loop = eventlet.spawn(self._expire_queued)
         while True:
-            decision = event.wait(timeout=CALLER_CHECK_SECONDS)
+            decision = event.wait(timeout=CALLER_CHECK_INTERVAL_SECONDS)
             if decision is not None:
                 return decision
             if is_caller_gone(request.caller_socket) and not event.ready():
-                self.held.pop(ticket, None)
+                self.queued.pop(ticket, None)
                 self.dispatcher.abandon(ticket)
                 outcome = Outcome.UNKNOWN if ticket.exposed else Outcome.NOT_RUN
                 return Refusal(RefusalReason.CALLER_GONE, outcome)
 
-    def _keep(self):
-        """Give up on held requests in time, as long as there are any."""
-        while self.held:
+    def _expire_queued(self):
+        """Refuse queued requests whose time is up, until the queue is empty."""
+        while self.queued:
             for ticket, refusal in self.dispatcher.expire(self.clock()):
-                self.held.pop(ticket).send(refusal)
+                self.queued.pop(ticket).send(refusal)
             self.pump()
-            eventlet.sleep(TICK_SECONDS)
+            eventlet.sleep(EXPIRY_CHECK_INTERVAL_SECONDS)
         self.expiry_loop = None
 
     def mark_draining(self, identity, until):
-        """Give an endpoint no new work and close idle connections to it."""
+        """Send no new requests to an endpoint and close idle connections to it."""
         self.dispatcher.mark_draining(identity, until)
         pool = self.pools.get(identity)
         if pool is not None and until > self.clock():
--- a/packages/hingesill-node/hingesill_node/datapath/runnertable.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runnertable.py
@@ -1,4 +1,4 @@
-"""The services at this node, and what they share."""
+"""The services at this node and their shared state."""
 
 import time
 
@@ -16,16 +16,16 @@
 
 
 class RunnerTable:
-    """The runners of all services that were asked for, made on first use.
+    """The runners of services, created on first use.
 
     Parameters
     ----------
     blackboard : Blackboard
-        Configuration, fleet and drain signs in force.
+        Current configuration, fleet and drain notices.
     rng : random.Random
-        For the dispatchers.
+        Source of randomness of the dispatchers.
     announce : Announcements
-        Told of endpoints that leave and of overdue answers.
+        Sends leaving endpoints and overdue answers to other nodes.
     """
 
     def __init__(self, blackboard, rng, announce, clock=time.monotonic):
@@ -39,16 +39,16 @@
         self.guard = RequestGuard()
         self.limits = FleetLimits(rng, log_limit, self._is_declared)
         self.availability_log = AvailabilityLog(clock)
-        self.availabilities = AvailabilityRegistry(self.availability_log.note)
+        self.availabilities = AvailabilityRegistry(self.availability_log.record)
         self._wire = None
         self._counters = None
         blackboard.watch("configuration", self.refresh)
         blackboard.watch("profile", self.refresh_profile)
         blackboard.watch("fleet", self.refresh)
-        blackboard.watch("signs", self.refresh_signs)
+        blackboard.watch("signs", self.refresh_drain_notices)
 
     def get(self, name):
-        """Return the runner of a service that is in force."""
+        """Return the runner of a declared service."""
         runner = self.runners.get(name)
         if runner is None:
             board = self.blackboard
@@ -66,28 +66,28 @@
                 self.availabilities,
             )
             self.runners[name] = runner
-            self._apply_signs(runner)
+            self._apply_drain_notices(runner)
             self._apply_profile(runner)
         return runner
 
     def _is_declared(self, name):
-        """Tell whether a service is in force."""
+        """Return whether a service is in the current configuration."""
         return name in self.blackboard.configuration.services
 
-    def open_rooms(self, wire, counters):
-        """Let services ask endpoints though no request has come for them yet."""
+    def enable_load_queries(self, wire, counters):
+        """Allow load queries for services that have had no request yet."""
         self._wire = wire
         self._counters = counters
         self.availability_log.counters = counters
 
     def query_load(self, name, endpoints):
-        """Ask some endpoints of a service for their load, on behalf of no request."""
+        """Query the load of some endpoints of a service without a request."""
         if endpoints and self._is_declared(name):
-            room = self.get(name).get_room(self._wire, self._counters)
-            room.query_load(endpoints)
+            query_client = self.get(name).get_query_client(self._wire, self._counters)
+            query_client.query_load(endpoints)
 
     def refresh(self):
-        """Bring all runners to the configuration and fleet in force."""
+        """Apply the current configuration and fleet to all runners."""
         board = self.blackboard
         self.limits.keep(board.configuration.services)
         for name, runner in list(self.runners.items()):
@@ -99,20 +99,20 @@
                 runner.dispatcher.fleet,
             ):
                 runner.configure(service, board.fleet)
-                self._apply_signs(runner)
+                self._apply_drain_notices(runner)
 
-    def refresh_signs(self):
-        """Bring all runners to the drain signs in force."""
+    def refresh_drain_notices(self):
+        """Apply the current drain notices to all runners."""
         for runner in self.runners.values():
-            self._apply_signs(runner)
+            self._apply_drain_notices(runner)
 
-    def _apply_signs(self, runner):
+    def _apply_drain_notices(self, runner):
         for address, until in self.blackboard.signs.items():
             if address in runner.dispatcher.states:
                 runner.mark_draining(address, until)
 
     def refresh_profile(self):
-        """Let all runners know what other nodes have learnt."""
+        """Apply the profile, which holds other nodes' observations, to all runners."""
         services = self.blackboard.profile.services.values()
         self.curves.adopt(merge_level_profiles(services), self.clock())
         for runner in self.runners.values():
@@ -125,7 +125,7 @@
             runner.slots.adopt(profile, self.clock())
 
     def list_unpublished(self):
-        """Return the names of services of which the fleet should know more."""
+        """Return the names of services with observations worth publishing."""
         now = self.clock()
         return [
             name
@@ -134,41 +134,49 @@
         ]
 
     def take_unreported(self, only_urgent):
-        """Return a Profile of own answers for the relay, or None if there are none.
+        """Return a Profile of observations unreported to the relay, or None.
 
         Parameters
         ----------
         only_urgent : bool
-            Of services only of which the fleet does not know enough yet.
+            Whether to include only services whose concurrency model is not yet
+            stable.
         """
         now = self.clock()
-        news = {
+        observations = {
             name: runner.slots.take_unreported(now)
             for name, runner in self.runners.items()
             if not (only_urgent and runner.slots.is_stable(now))
         }
-        news = {name: profile for name, profile in news.items() if profile is not None}
-        return Profile(news) if news else None
+        observations = {
+            name: profile
+            for name, profile in observations.items()
+            if profile is not None
+        }
+        return Profile(observations) if observations else None
 
     def merge_report(self, profile):
-        """Take a Profile of another node's answers; of unknown services nothing."""
+        """Merge a Profile of another node's observations.
+
+        Services that are not in the current configuration are skipped.
+        """
         now = self.clock()
-        for name, news in profile.services.items():
+        for name, observations in profile.services.items():
             if name in self.blackboard.configuration.services:
-                self.get(name).slots.merge_report(news, now)
+                self.get(name).slots.merge_report(observations, now)
 
     def build_profiles(self, names):
-        """Return the ServiceProfile of each of the services."""
+        """Return the ServiceProfile of each of the services by name."""
         now = self.clock()
         return {name: self.runners[name].slots.build_profile(now) for name in names}
 
     def mark_published(self, profiles):
-        """Note that others know all that is known here of some services.
+        """Record that the profiles of some services have been published.
 
         Parameters
         ----------
         profiles : dict
-            ServiceProfile by name. A service that is gone by now is passed over.
+            ServiceProfile by name. Services without a runner are skipped.
         """
         now = self.clock()
         for name, profile in profiles.items():
@@ -176,11 +184,11 @@
                 self.runners[name].slots.mark_published(profile, now)
 
     def record_suspicion(self, endpoint, ratio):
-        """Take another node's word on an endpoint."""
+        """Record another node's suspicion of an endpoint."""
         now = self.clock()
         for runner in self.runners.values():
             runner.dispatcher.record_suspicion(endpoint, ratio, now)
 
-    def count_held(self):
-        """Return the requests held at this node."""
-        return sum(len(runner.held) for runner in self.runners.values())
+    def count_queued(self):
+        """Return the number of requests queued at this node."""
+        return sum(len(runner.queued) for runner in self.runners.values())
--- a/packages/hingesill-node/hingesill_node/datapath/sends.py
+++ b/packages/hingesill-node/hingesill_node/datapath/sends.py
@@ -1,20 +1,24 @@
-"""The sends of one request: started, settled, and told of."""
+"""The sends of one request: start, settlement and logging."""
 
 from hingesill_core.reasons import Outcome
 from hingesill_core.routing.messages import SendResult, SendStatus
 from hingesill_node.datapath.connections import ConnectFailed
 from hingesill_node.datapath.messages import LiveSend
-from hingesill_node.datapath.story import StepKind, describe_end, describe_report
+from hingesill_node.datapath.requesttimeline import (
+    StepKind,
+    describe_report,
+    describe_status,
+)
 from hingesill_node.datapath.transport import BodyFailed, connect, send_request
 
 __all__ = ["RequestSends"]
 
-# How a send ends that brought the endpoint's own answer.
-LIVED_THROUGH = frozenset({SendStatus.ANSWERED, SendStatus.FAULT})
+# Statuses of sends that brought an answer of the endpoint itself.
+ANSWERED_STATUSES = frozenset({SendStatus.ANSWERED, SendStatus.FAULT})
 
 
 class RequestSends:
-    """Starts and settles the sends of one request, each of them once.
+    """Starts the sends of one request and settles each of them once.
 
     Parameters
     ----------
@@ -23,64 +27,65 @@
     request : CallerRequest
         The request.
     counters : Counters
-        Gets ``sends``.
+        Counts ``sends``.
     wire : OwnFormat
-        The dialect.
+        The header format.
     clock : callable
-        Seconds, by which the request's time passes.
-    story : Story
-        Gets a step for each start and end.
+        Monotonic seconds; the request's deadline is on this clock.
+    timeline : RequestTimeline
+        Gets a step for each start and end of a send.
 
     Attributes
     ----------
-    lives : list of LiveSend
-        All that were started, but for one whose answer is being passed on.
+    live_sends : list of LiveSend
+        All started sends, except one whose answer is streamed to the caller.
     """
 
-    def __init__(self, runner, request, counters, wire, clock, story):
+    def __init__(self, runner, request, counters, wire, clock, timeline):
         self.runner = runner
         self.request = request
         self.counters = counters
         self.wire = wire
         self.clock = clock
-        self.story = story
-        self.lives = []
+        self.timeline = timeline
+        self.live_sends = []
 
-    def list_racing(self):
-        """Return the sends that are under way."""
-        return [live for live in self.lives if not live.settled]
+    def list_in_flight(self):
+        """Return the sends that are not settled."""
+        return [live for live in self.live_sends if not live.settled]
 
     def get_outcome(self):
-        """Return what is certain: a send that is under way may have run."""
-        may_have_run = self.request.ticket.exposed or bool(self.list_racing())
+        """Return the outcome: unknown if a send may have run or is in flight."""
+        may_have_run = self.request.ticket.exposed or bool(self.list_in_flight())
         return Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
 
-    def start(self, send, proven=None):
-        """Send the request.
+    def start(self, send, reply_connection=None):
+        """Send the request to the endpoint of a Send.
 
         Parameters
         ----------
         send : Send
-            As the dispatcher gave it out.
-        proven : EndpointConnection or None
-            One that was alive just now.
+            The dispatcher's decision.
+        reply_connection : EndpointConnection or None
+            The connection that carried the load reply, known to be alive.
 
         Returns
         -------
         LiveSend, SendStatus or None
-            SendStatus if it failed; None if the caller's body did not come.
+            SendStatus if the send failed; None if the caller's body could not be
+            read.
         """
         pool = self.runner.find_pool(send.endpoint)
         live = LiveSend(send, pool)
         if pool is None:
-            if proven is not None:
-                proven.close()
+            if reply_connection is not None:
+                reply_connection.close()
             return self.end(live, SendResult(SendStatus.CONNECT_FAILED))
         self.counters.add("sends", self.runner.dispatcher.service.name)
         kind = StepKind.HEDGED if send.hedge else StepKind.SENT
-        self._tell(kind, send.endpoint, self._describe_evidence(send))
-        live.connection = proven
-        self.lives.append(live)
+        self._add_step(kind, send.endpoint, self._describe_evidence(send))
+        live.connection = reply_connection
+        self.live_sends.append(live)
         try:
             connect(live)
             if self._close_if_settled(live):
@@ -101,14 +106,14 @@
             return self.end(live, SendResult(SendStatus.LOST))
 
     def _close_if_settled(self, live):
-        """Cancel a send that was settled meanwhile; tell whether it was."""
+        """Close the connection of a settled send; return whether it is settled."""
         if live.settled and live.connection is not None:
             live.pool.discard(live.connection)
             live.connection = None
         return live.settled
 
     def _describe_evidence(self, send):
-        """Return the report that a send went by, with its age."""
+        """Return the load report on which a send was based, with its age, as text."""
         state = self.runner.dispatcher.states.get(send.endpoint)
         if state is None or state.report is None:
             return "no report"
@@ -118,18 +123,18 @@
             evidence += f" limit {state.limits.limited[send.endpoint]:g}/s"
         return evidence
 
-    def _tell(self, kind, endpoint, detail):
-        """Add a step to the request's story."""
-        self.story.add(kind, self.clock(), endpoint, detail)
+    def _add_step(self, kind, endpoint, detail):
+        """Add a step to the request's timeline."""
+        self.timeline.add(kind, self.clock(), endpoint, detail)
 
     def end(self, live, result, keep=False):
-        """Settle a send, and keep or close its connection; return its SendStatus."""
+        """Settle a send, keep or close its connection, and return its SendStatus."""
         if live.settled:
             return result.end
         live.settled = True
-        detail = describe_end(result.end, live.response)
-        self._tell(StepKind.ENDED, live.send.endpoint, detail)
-        self._tell_guard(live, result.end)
+        detail = describe_status(result.end, live.response)
+        self._add_step(StepKind.ENDED, live.send.endpoint, detail)
+        self._notify_guard(live, result.end)
         connection, live.connection = live.connection, None
         if connection is not None:
             if keep:
@@ -140,21 +145,21 @@
         self.runner.settle(live.send, result)
         return result.end
 
-    def end_all(self, lives, end):
-        """Settle sends that brought no answer of use."""
-        for live in lives:
-            self.end(live, SendResult(end))
+    def end_all(self, live_sends, status):
+        """Settle sends whose answers are not used."""
+        for live in live_sends:
+            self.end(live, SendResult(status))
 
-    def _tell_guard(self, live, end):
-        """Tell whether the endpoint lived through the request."""
-        if end is SendStatus.LOST:
+    def _notify_guard(self, live, status):
+        """Report to the guard whether the endpoint survived the request."""
+        if status is SendStatus.LOST:
             self.handle_lost_response(live)
-        elif end in LIVED_THROUGH:
+        elif status in ANSWERED_STATUSES:
             self.runner.guard.record_answer(self.request)
 
     def handle_lost_response(self, live):
-        """Have it found out whether the endpoint ended while it had the request."""
-        self.story.has_lost = True
+        """Have the guard check whether the endpoint crashed under the request."""
+        self.timeline.has_lost = True
         self.runner.guard.handle_lost_response(
             self.request, live.send.endpoint, live.pool.address
         )
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of an exchange whose sends are settled while they begin."""
+"""Tests of an exchange: hedges, back-offs and cancelled sends."""
 
 import unittest
 from unittest.mock import patch
@@ -16,15 +16,15 @@
 from hingesill_node.datapath import sends as sends_module
 from hingesill_node.datapath.exchange import Exchange
 from hingesill_node.datapath.messages import Body, CallerRequest, LiveSend
+from hingesill_node.datapath.requesttimeline import describe_status
 from hingesill_node.datapath.responses import EndpointResponse
-from hingesill_node.datapath.story import describe_end
 from hingesill_node.datapath.tests.test_loadqueries import ROUTE, build_runner
 from hingesill_node.datapath.wire import OwnFormat
 from hingesill_node.telemetry.counters import Counters
 
 
 class RecordingPool:
-    """Gives one connection and counts what comes back."""
+    """Pool with one connection that records discarded connections."""
 
     def __init__(self):
         self.discarded = []
@@ -37,7 +37,7 @@
 
 
 class RecordingConnection:
-    """Keeps what is written to it."""
+    """Connection that records the targets written to it."""
 
     def __init__(self):
         self.written = []
@@ -53,8 +53,8 @@
         raise ConnectionResetError
 
 
-class AskedForRestPool:
-    """While it connects, the endpoint asks for a rest in another answer."""
+class BackoffPool:
+    """Pool whose endpoint requests a back-off during `take`, in another answer."""
 
     born = 0
 
@@ -77,7 +77,7 @@
 
 
 class OverdueSendTests(unittest.TestCase):
-    """A send that gets no answer until its caller's time is over."""
+    """A send that gets no answer before the caller's deadline."""
 
     def setUp(self):
         self.runner = build_runner()
@@ -87,44 +87,44 @@
         self.exchange = Exchange(self.runner, request, Counters(), OwnFormat())
         send = Send(self.ticket, "i1", now, 0.1)
         self.live = LiveSend(send, None)
-        self.exchange.sends.lives = [self.live]
+        self.exchange.sends.live_sends = [self.live]
 
-    def test_a_hedge_that_was_denied_is_tried_again(self):
-        tries = []
+    def test_a_denied_hedge_is_tried_again(self):
+        attempts = []
 
         def deny(ticket, now):
-            tries.append(now)
+            attempts.append(now)
             return RetryDenied(RetryReason.DENIED_NO_ENDPOINT)
 
         hedging = self.runner.dispatcher.hedging
         hedging.start = deny
         hedging.get_overdue_time = lambda send: 0.1
         self.assertIs(self.exchange._await_first(self.live), SendStatus.LATE)
-        self.assertGreaterEqual(len(tries), 2)
-        self.assertLessEqual(len(tries), 4)
+        self.assertGreaterEqual(len(attempts), 2)
+        self.assertLessEqual(len(attempts), 4)
 
-    def test_one_that_no_rule_allows_is_not(self):
-        tries = []
+    def test_a_hedge_over_the_send_limit_is_tried_once(self):
+        attempts = []
         hedging = self.runner.dispatcher.hedging
         hedging.get_overdue_time = lambda send: 0.1
         self.ticket.sends = ROUTE.most_sends
         start = hedging.start
-        hedging.start = lambda *values: tries.append(values) or start(*values)
+        hedging.start = lambda *values: attempts.append(values) or start(*values)
         self.exchange._await_first(self.live)
-        self.assertEqual(len(tries), 1)
+        self.assertEqual(len(attempts), 1)
 
-    def test_what_is_under_way_may_have_run(self):
+    def test_outcome_is_unknown_while_a_send_is_in_flight(self):
         self.assertIs(self.exchange.sends.get_outcome(), Outcome.UNKNOWN)
         self.live.settled = True
         self.assertIs(self.exchange.sends.get_outcome(), Outcome.NOT_RUN)
 
 
-class LateWordTests(unittest.TestCase):
-    """An endpoint asks for a rest while a send waits for its connection."""
+class BackoffWhileConnectingTests(unittest.TestCase):
+    """An endpoint requests a back-off while a send waits for its connection."""
 
     def setUp(self):
         self.runner = build_runner()
-        self.pool = self.runner.pools["i1"] = AskedForRestPool(self.runner)
+        self.pool = self.runner.pools["i1"] = BackoffPool(self.runner)
         now = self.runner.clock()
         self.ticket = Ticket(ROUTE, now, now + 2.0)
         request = CallerRequest("r1", "GET", "/a/", [], Body(b"", 0), self.ticket)
@@ -133,16 +133,16 @@
         send = self.runner.dispatcher.start_send(self.ticket, state, now)
         self.end = self.exchange.sends.start(send)
 
-    def test_a_request_to_an_endpoint_that_asked_for_a_rest_meanwhile(self):
+    def test_the_request_is_not_written(self):
         self.assertIs(self.end, SendStatus.NOT_SENT)
         self.assertEqual(self.pool.connection.written, [])
         self.assertEqual(self.pool.kept, [self.pool.connection])
 
-    def test_it_has_not_run_and_counts_as_no_send(self):
+    def test_it_has_not_run_and_is_not_counted_as_a_send(self):
         self.assertFalse(self.ticket.exposed)
         self.assertEqual(self.ticket.sends, 0)
 
-    def test_it_goes_elsewhere_without_a_retry_of_the_budget(self):
+    def test_the_next_send_uses_no_retry_budget(self):
         self.runner.dispatcher.retries.tokens = 0.0
         now = self.runner.clock()
         retry = self.runner.dispatcher.retry(self.ticket, SendStatus.NOT_SENT, now)
@@ -150,23 +150,23 @@
         self.assertEqual(self.runner.dispatcher.retries.tokens, 0.0)
 
 
-class LateWordToAQuestionTests(unittest.TestCase):
-    def test_a_question_to_an_endpoint_that_asked_for_a_rest_meanwhile(self):
+class LoadQueryDuringBackoffTests(unittest.TestCase):
+    def test_the_load_query_is_not_written(self):
         runner = build_runner()
-        pool = AskedForRestPool(runner)
-        runner.get_room(OwnFormat(), Counters())._ask_one("i1", pool)
+        pool = BackoffPool(runner)
+        runner.get_query_client(OwnFormat(), Counters())._query_endpoint("i1", pool)
         self.assertEqual(pool.connection.written, [])
         self.assertEqual(pool.kept, [pool.connection])
 
 
 class StepTests(unittest.TestCase):
-    def test_an_end_is_told_with_the_rest_that_its_answer_asks_for(self):
+    def test_send_status_is_described_with_its_retry_after(self):
         response = EndpointResponse(None, "GET")
-        self.assertEqual(describe_end(SendStatus.REFUSED, response), "refused")
+        self.assertEqual(describe_status(SendStatus.REFUSED, response), "refused")
         response.headers = [("retry-after", "3")]
-        told = describe_end(SendStatus.REFUSED, response)
-        self.assertEqual(told, "refused retry-after 3")
-        self.assertEqual(describe_end(SendStatus.LOST, None), "lost")
+        described = describe_status(SendStatus.REFUSED, response)
+        self.assertEqual(described, "refused retry-after 3")
+        self.assertEqual(describe_status(SendStatus.LOST, None), "lost")
 
 
 class SettledSendTests(unittest.TestCase):
@@ -179,7 +179,7 @@
         self.exchange = Exchange(self.runner, request, Counters(), OwnFormat())
 
     def start(self, settle_before_connecting):
-        """Start a send during which the exchange ends all its sends."""
+        """Start a send during which the exchange cancels all its sends."""
 
         def connect(live):
             if settle_before_connecting:
@@ -196,16 +196,16 @@
         ):
             return self.exchange.sends.start(send)
 
-    def test_a_connection_that_came_too_late_is_closed(self):
+    def test_a_connection_opened_after_cancellation_is_closed(self):
         live = self.start(settle_before_connecting=True)
         self.assertEqual(self.pool.discarded, ["connection"])
         self.assertIsNone(live.connection)
 
-    def test_a_connection_that_was_closed_already_is_closed_once(self):
+    def test_a_cancelled_send_closes_its_connection_once(self):
         self.start(settle_before_connecting=False)
         self.assertEqual(self.pool.discarded, ["connection"])
 
-    def test_a_send_that_goes_on_keeps_its_connection(self):
+    def test_an_unsettled_send_keeps_its_connection(self):
         send = Send(self.ticket, "i1", self.ticket.arrived, 0.1)
         with patch.object(sends_module, "send_request", lambda live, *_: None):
             live = self.exchange.sends.start(send)
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
@@ -1,4 +1,4 @@
-"""Tests of requests that wait for an endpoint's word."""
+"""Tests of requests that wait for a load reply."""
 
 import random
 import time
@@ -17,7 +17,7 @@
 from hingesill_core.routing.load_report import LoadReport
 from hingesill_core.routing.loadqueries import LoadQuery
 from hingesill_core.routing.messages import Send, SendResult, SendStatus, Ticket
-from hingesill_node.datapath.hedges import AskedHedge
+from hingesill_node.datapath.hedges import QueryingHedge
 from hingesill_node.datapath.messages import Body, CallerRequest
 from hingesill_node.datapath.responses import EndpointResponse
 from hingesill_node.datapath.runner import ServiceRunner
@@ -50,10 +50,10 @@
     return Service("arena", "fresh_report", endpoints, (ROUTE,), probes, sends, 16, 0)
 
 
-class RoomTestCase(unittest.TestCase):
+class QueryClientTestCase(unittest.TestCase):
     def setUp(self):
         self.runner = build_runner()
-        self.room = self.runner.get_room(OwnFormat(), Counters())
+        self.query_client = self.runner.get_query_client(OwnFormat(), Counters())
         now = self.runner.clock()
         self.ticket = Ticket(ROUTE, now, now + 2.0)
         body = Body(b"", 0)
@@ -64,7 +64,7 @@
 
 
 class AnsweringConnection:
-    """Brings one answer to a question."""
+    """Connection that returns one answer to a load query."""
 
     address = "127.0.0.1:1"
 
@@ -85,7 +85,7 @@
 
 
 class AnsweringPool:
-    """Gives one connection; its answer may name another endpoint, or none."""
+    """Pool with one connection, whose answer may name another endpoint or none."""
 
     born = 0
 
@@ -99,31 +99,31 @@
         pass
 
 
-class RefusedQuestionTests(RoomTestCase):
-    """A question that is refused as a request would be."""
+class RefusedLoadQueryTests(QueryClientTestCase):
+    """A load query that is refused like a request."""
 
-    def ask(self, **answer):
-        self.room.wire.is_answer_of = lambda response, endpoint: False
-        self.room.wire.is_unsigned = lambda response: not answer
+    def query(self, **answer):
+        self.query_client.wire.is_answer_of = lambda response, endpoint: False
+        self.query_client.wire.is_unsigned = lambda response: not answer
         connection = AnsweringConnection(503, [("Retry-After", "3")])
-        self.room._ask_one("i1", AnsweringPool(connection))
+        self.query_client._query_endpoint("i1", AnsweringPool(connection))
         return self.runner.dispatcher.states["i1"]
 
-    def test_its_rest_counts_though_it_does_not_name_the_endpoint(self):
-        state = self.ask()
+    def test_unsigned_refusal_starts_a_backoff(self):
+        state = self.query()
         self.assertTrue(state.availability.is_backing_off(self.runner.clock()))
         self.assertEqual(state.reach.consecutive, 0)
 
-    def test_that_of_another_endpoint_does_not(self):
-        state = self.ask(named="i2")
+    def test_refusal_of_another_endpoint_starts_no_backoff(self):
+        state = self.query(named="i2")
         self.assertFalse(state.availability.is_backing_off(self.runner.clock()))
         self.assertEqual(state.reach.consecutive, 1)
 
 
-class WaitingRoomTests(RoomTestCase):
+class LoadQueryClientTests(QueryClientTestCase):
     def wait(self):
         self.runner.dispatcher.submit(self.ticket, self.runner.clock())
-        waiting = eventlet.spawn(self.room.wait, self.request, LoadQuery(()))
+        waiting = eventlet.spawn(self.query_client.wait, self.request, LoadQuery(()))
         eventlet.sleep(0)
         return waiting
 
@@ -135,16 +135,16 @@
         result = SendResult(SendStatus.ANSWERED, self.report(running))
         self.runner.settle(send, result)
 
-    def test_the_slot_that_an_answer_frees_goes_to_who_waits(self):
+    def test_a_freed_slot_goes_to_the_waiting_request(self):
         waiting = self.wait()
         self.end_send(running=1)
         with eventlet.Timeout(1.0):
-            found = waiting.wait()
-        self.assertIsInstance(found.decision, Send)
-        self.assertEqual(found.decision.endpoint, "i1")
-        self.assertIs(found.decision.ticket, self.ticket)
+            result = waiting.wait()
+        self.assertIsInstance(result.decision, Send)
+        self.assertEqual(result.decision.endpoint, "i1")
+        self.assertIs(result.decision.ticket, self.ticket)
 
-    def test_an_endpoint_that_is_still_full_gets_nobody(self):
+    def test_a_full_endpoint_gets_no_request(self):
         waiting = self.wait()
         self.end_send(running=3)
         eventlet.sleep(0.01)
@@ -152,20 +152,20 @@
         self.assertEqual(self.runner.dispatcher.states["i1"].in_flight, 0)
         waiting.kill()
 
-    def test_without_anybody_waiting_nothing_is_begun(self):
+    def test_no_send_starts_without_a_waiting_request(self):
         self.end_send(running=0)
         self.assertEqual(self.runner.dispatcher.states["i1"].in_flight, 0)
 
-    def test_who_is_withdrawn_gets_nothing(self):
+    def test_a_cancelled_request_gets_no_endpoint(self):
         waiting = self.wait()
-        self.room.withdraw(self.ticket)
+        self.query_client.cancel(self.ticket)
         with eventlet.Timeout(1.0):
             self.assertIsNone(waiting.wait().decision)
         self.assertFalse(self.runner.dispatcher.binding.waiting)
 
 
 class RecordingSends:
-    """What a hedge uses of an exchange's sends."""
+    """Stand-in for an exchange's sends that records the endpoints."""
 
     def __init__(self, started):
         self.started = started
@@ -174,41 +174,41 @@
         self.started.append(send.endpoint)
 
 
-class HedgeTests(RoomTestCase):
-    """A hedge whose answer is no longer wanted leaves nothing behind."""
+class HedgeTests(QueryClientTestCase):
+    """A cancelled hedge sends nothing and keeps no token or slot."""
 
     def setUp(self):
         super().setUp()
         self.started = []
-        self.hedge = AskedHedge(self, self.room)
+        self.hedge = QueryingHedge(self, self.query_client)
         self.sends = RecordingSends(self.started)
         self.dispatcher = self.runner.dispatcher
         self.dispatcher.retries.tokens = 3.0
 
     def start(self):
-        ask = self.dispatcher.hedging.start(self.ticket, self.runner.clock())
-        self.assertIsInstance(ask, LoadQuery)
+        query = self.dispatcher.hedging.start(self.ticket, self.runner.clock())
+        self.assertIsInstance(query, LoadQuery)
         thread = eventlet.spawn(self.hedge.run, LoadQuery(()))
         eventlet.sleep(0)
         return thread
 
-    def test_it_is_sent_where_a_slot_is_free(self):
+    def test_it_is_sent_to_a_free_endpoint(self):
         thread = self.start()
-        self.room.offer("i2", self.report(0))
+        self.query_client.offer("i2", self.report(0))
         thread.wait()
         self.assertEqual(self.started, ["i2"])
 
-    def test_withdrawn_while_it_waits(self):
+    def test_cancelled_while_it_waits(self):
         thread = self.start()
-        self.hedge.withdraw()
+        self.hedge.cancel()
         thread.wait()
         self.assertEqual(self.started, [])
         self.assertEqual(self.dispatcher.retries.tokens, 3.0)
 
-    def test_withdrawn_just_after_it_was_given_an_endpoint(self):
+    def test_cancelled_after_an_endpoint_was_assigned(self):
         thread = self.start()
-        self.room.offer("i2", self.report(0))
-        self.hedge.withdraw()
+        self.query_client.offer("i2", self.report(0))
+        self.hedge.cancel()
         thread.wait()
         self.assertEqual(self.started, [])
         self.assertEqual(self.dispatcher.states["i2"].in_flight, 0)
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_suspension.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_suspension.py
@@ -43,7 +43,7 @@
         self.runner = build_runner(clock=self.clock)
 
     def test_a_request_whose_time_has_passed_is_refused_and_not_sent(self):
-        room = self.runner.get_room(OwnFormat(), Counters())
+        room = self.runner.get_query_client(OwnFormat(), Counters())
         now = self.clock()
         ticket = Ticket(ROUTE, now, now + 2.0)
         request = CallerRequest("r1", "GET", "/a/", [], Body(b"", 0), ticket)
--- a/packages/hingesill-node/hingesill_node/datapath/waits.py
+++ b/packages/hingesill-node/hingesill_node/datapath/waits.py
@@ -1,4 +1,4 @@
-"""Waiting for the first of several sockets in one green thread."""
+"""Waits for sockets in a green thread: for one, or for the first of several."""
 
 import greenlet
 from eventlet import hubs
@@ -7,7 +7,7 @@
 
 
 class WaitTimeout(Exception):
-    """Nothing came in time."""
+    """The time limit passed before data arrived."""
 
 
 class Wake:
@@ -15,48 +15,48 @@
 
     Notes
     -----
-    The hub collects what is ready before it calls back, so a second socket may
+    The hub collects all ready sockets before it calls back, so a second socket may
     call after the first one has ended the wait.
     """
 
     def __init__(self):
         self._greenlet = greenlet.getcurrent()
-        self._done = False
+        self._is_done = False
 
-    def switch(self, number=None):
-        """End the wait because a socket is ready, or the time is over."""
-        if not self._done:
-            self._done = True
-            self._greenlet.switch(number)
+    def switch(self, fd=None):
+        """End the wait because a socket is ready or the time has passed."""
+        if not self._is_done:
+            self._is_done = True
+            self._greenlet.switch(fd)
 
     def throw(self, *error):
         """End the wait because a socket was closed on this side."""
-        if not self._done:
-            self._done = True
+        if not self._is_done:
+            self._is_done = True
             self._greenlet.throw(*error)
 
 
 def ignore():
-    """Take note of nothing: the waiting code closes its sockets itself."""
+    """Do nothing on close: the waiting code closes its sockets itself."""
 
 
 def receive(sock, size):
-    """Return bytes of a green socket; empty if the other side has ended.
+    """Return bytes of a green socket; empty if the peer has closed it.
 
     Parameters
     ----------
     sock : GreenSocket
-        Its time limit bounds the wait.
+        Its timeout limits the wait.
     size : int
-        Most bytes to return.
+        Maximum number of bytes to return.
 
     Raises
     ------
     WaitTimeout
-        If nothing comes within the socket's time limit.
+        If no data arrives within the socket's timeout.
     OSError
-        If the connection was reset, or closed on this side. eventlet's own
-        ``recv`` takes a reset for an end, and so a cut answer for a whole one.
+        If the connection was reset, or closed on this side. eventlet's own ``recv``
+        treats a reset as the end of the stream, and so a truncated answer as whole.
     """
     while True:
         try:
@@ -78,24 +78,21 @@
     sockets : iterable of socket
         No other green thread may wait to read one of them.
     seconds : float
-        Longest wait; 0 or less looks only once.
+        Maximum wait; 0 or less checks once without waiting.
 
     Notes
     -----
-    A socket that was closed by the other side, or reset, can be read.
+    A socket that was closed or reset by the peer counts as readable.
     """
     hub = hubs.get_hub()
     wake = Wake()
-    by_number = {sock.fileno(): sock for sock in sockets}
-    listeners = [
-        hub.add(hub.READ, number, wake.switch, wake.throw, ignore)
-        for number in by_number
-    ]
+    by_fd = {sock.fileno(): sock for sock in sockets}
+    listeners = [hub.add(hub.READ, fd, wake.switch, wake.throw, ignore) for fd in by_fd]
     timer = hub.schedule_call_global(max(0.0, seconds), wake.switch)
     try:
-        number = hub.switch()
+        fd = hub.switch()
     finally:
         timer.cancel()
         for listener in listeners:
             hub.remove(listener)
-    return by_number.get(number)
+    return by_fd.get(fd)
--- a/packages/hingesill-node/hingesill_node/node.py
+++ b/packages/hingesill-node/hingesill_node/node.py
@@ -98,7 +98,7 @@
         self.runners = RunnerTable(
             self.blackboard, random.Random(), self.control.announcements, clock
         )
-        self.runners.open_rooms(wire or OwnFormat(), self.counters)
+        self.runners.enable_load_queries(wire or OwnFormat(), self.counters)
         self.lifecycle = Lifecycle(self.blackboard, settings, self.control)
         self.application = Application(
             self.blackboard,
@@ -115,7 +115,7 @@
         now = self.runners.clock()
         return {
             "in_flight": self.blackboard.in_flight,
-            "held": self.runners.count_held(),
+            "held": self.runners.count_queued(),
             "limited_endpoints": self.runners.limits.count_limited(),
             "resting_endpoints": availabilities.count_backing_off(now),
             "leaving_endpoints": availabilities.count_leaving(now),
