--- a/packages/hingesill-node/hingesill_node/datapath/exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/exchange.py
@@ -86,7 +86,7 @@
                 elif isinstance(decision, Refusal):
                     return self.fault_answer or decision
                 else:
-                    outcome = self._carry_out(decision)
+                    outcome = self._execute_send(decision)
                     if not isinstance(outcome, SendStatus):
                         return outcome
                     decision = self._decide_after(outcome)
@@ -124,7 +124,7 @@
         self.reply_connection = result.connection
         return result.decision
 
-    def _carry_out(self, send):
+    def _execute_send(self, send):
         """Send the request; return an Answer, a Refusal or a SendStatus.
 
         A SendStatus means that the send brought no answer.
@@ -212,7 +212,7 @@
         ready = wait_any(by_socket, min(until - now, *waits))
         if ready is None:
             for live in in_flight:
-                self.runner.suspect(live.send, self.clock())
+                self.runner.report_suspicion(live.send, self.clock())
             return None
         return by_socket[ready]
 
--- a/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
@@ -89,7 +89,7 @@
             self._deliver(send.ticket, QueryResult(send))
 
     def query_load(self, endpoints):
-        """Query the load of endpoints within the query budget."""
+        """Query the load of endpoints for no request, within the query budget."""
         count = self.binding.budget.take(len(endpoints), self.runner.clock())
         self._send_queries(LoadQuery(tuple(endpoints[:count])))
 
@@ -183,8 +183,8 @@
 
         Notes
         -----
-        A load query may be refused like a request, by another server that listens on
-        the address.
+        A load query may be refused like a request, by any server that listens on the
+        address.
         """
         signals = self.wire.read_signals(response, self.runner.clock(), 0)
         if not (self.wire.is_unsigned(response) and signals.backoff.seconds):
--- a/packages/hingesill-node/hingesill_node/datapath/messages.py
+++ b/packages/hingesill-node/hingesill_node/datapath/messages.py
@@ -5,7 +5,7 @@
 from hingesill_core.crashes.fingerprint import describe_request
 from hingesill_core.routing.messages import Send, Ticket
 
-__all__ = ["Answer", "Body", "CallerRequest", "QueryResult", "LiveSend"]
+__all__ = ["Answer", "Body", "CallerRequest", "LiveSend", "QueryResult"]
 
 
 class Body(Struct):
@@ -35,7 +35,7 @@
     Parameters
     ----------
     request_id : str
-        Identifier of this attempt.
+        Identifier of this attempt of the caller.
     method, target, host : str
         As received from the caller.
     headers : list of tuple
--- a/packages/hingesill-node/hingesill_node/datapath/prober.py
+++ b/packages/hingesill-node/hingesill_node/datapath/prober.py
@@ -1,7 +1,7 @@
 """Probing of endpoints.
 
 A probe needs a probe share and is limited by its service's probe rate. It is sent only
-to an endpoint whose state it can clarify.
+where the node's own traffic yields no information.
 """
 
 import eventlet
--- a/packages/hingesill-node/hingesill_node/datapath/requesttimeline.py
+++ b/packages/hingesill-node/hingesill_node/datapath/requesttimeline.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct, field
 
-__all__ = ["Step", "StepKind", "RequestTimeline", "describe_status", "describe_report"]
+__all__ = ["RequestTimeline", "Step", "StepKind", "describe_report", "describe_status"]
 
 MAX_STEPS = 24
 # Maximum length of an endpoint's header value in a step, in characters.
@@ -12,7 +12,7 @@
 
 
 class StepKind(str, Enum):
-    """Kind of a step of a request."""
+    """Kind of a step of a request, with its text in the log."""
 
     QUERIED = "asked"
     QUEUED = "held"
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -20,7 +20,7 @@
 EXPIRY_CHECK_INTERVAL_SECONDS = 0.002
 SUSPICION_INTERVAL_SECONDS = 0.02
 CALLER_CHECK_INTERVAL_SECONDS = 0.05
-# Minimum interval between log lines about invalid headers, in seconds.
+# Minimum interval between log lines about invalid headers.
 LOG_INTERVAL_SECONDS = 5.0
 
 
@@ -35,7 +35,7 @@
         The node and its fleet.
     rng : random.Random
         Source of randomness of the dispatcher.
-    announce : Announcements
+    announcements : Announcements
         Sends leaving endpoints and overdue answers to other nodes.
     query_pool : QueryBudget or None
         Budget of load queries, shared by all services of the node.
@@ -56,7 +56,7 @@
         service,
         fleet,
         rng,
-        announce,
+        announcements,
         query_pool=None,
         curves=None,
         clock=time.monotonic,
@@ -69,7 +69,7 @@
             service, fleet, rng, query_pool, curves, limits, availabilities
         )
         self._next_log_at = 0.0
-        self.announce = announce
+        self.announcements = announcements
         self.clock = clock
         self.pools = {}
         self.queued = {}
@@ -106,7 +106,7 @@
         return Pool(endpoint.address, limit, self.clock, endpoint.born)
 
     @property
-    def slots(self):
+    def concurrency(self):
         """The ConcurrencyModel of the service's endpoints."""
         return self.dispatcher.binding.slots
 
@@ -148,7 +148,7 @@
             self.pump()
 
     def record_head(self, send, result):
-        """Apply the limit, back-off and drain headers of an answer before its body.
+        """Apply an answer's limit, back-off and drain headers before its body is read.
 
         Parameters
         ----------
@@ -168,7 +168,7 @@
             send.endpoint, send.born, backoff, result.leaving, now
         )
         if result.leaving:
-            self.announce.announce_drain(send.endpoint)
+            self.announcements.announce_drain(send.endpoint)
             self._close_idle(send)
 
     def _close_idle(self, send):
@@ -192,20 +192,20 @@
 
     def get_time_to_suspicion(self, send, now):
         """Return the seconds until an answer is suspiciously late."""
-        if not self.announce.is_connected:
+        if not self.announcements.is_connected:
             return float("inf")
         ratio = self.dispatcher.view.get_suspicious_ratio()
         remaining = send.started + ratio * send.expected - now
         return remaining if remaining > 0 else SUSPICION_INTERVAL_SECONDS
 
-    def suspect(self, send, now):
+    def report_suspicion(self, send, now):
         """Announce an answer that takes far longer than expected to other nodes."""
-        if not self.announce.is_connected:
+        if not self.announcements.is_connected:
             return
         ratio = (now - send.started) / send.expected
         if ratio < self.dispatcher.view.get_suspicious_ratio():
             return
-        self.announce.announce_suspicion(send.endpoint, ratio, now)
+        self.announcements.announce_suspicion(send.endpoint, ratio, now)
 
     def pump(self):
         """Wake the queued requests that can be sent now."""
@@ -238,7 +238,7 @@
         self.expiry_loop = None
 
     def mark_draining(self, identity, until):
-        """Send no new requests to an endpoint and close idle connections to it."""
+        """Send no new requests to an endpoint until a time; close idle connections."""
         self.dispatcher.mark_draining(identity, until)
         pool = self.pools.get(identity)
         if pool is not None and until > self.clock():
--- a/packages/hingesill-node/hingesill_node/datapath/runnertable.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runnertable.py
@@ -24,14 +24,14 @@
         Current configuration, fleet and drain notices.
     rng : random.Random
         Source of randomness of the dispatchers.
-    announce : Announcements
+    announcements : Announcements
         Sends leaving endpoints and overdue answers to other nodes.
     """
 
-    def __init__(self, blackboard, rng, announce, clock=time.monotonic):
+    def __init__(self, blackboard, rng, announcements, clock=time.monotonic):
         self.blackboard = blackboard
         self.rng = rng
-        self.announce = announce
+        self.announcements = announcements
         self.clock = clock
         self.runners = {}
         self.query_pool = QueryBudget()
@@ -57,7 +57,7 @@
                 service,
                 board.fleet,
                 self.rng,
-                self.announce,
+                self.announcements,
                 self.query_pool,
                 self.curves,
                 self.clock,
@@ -122,7 +122,7 @@
         name = runner.dispatcher.service.name
         profile = self.blackboard.profile.services.get(name)
         if profile is not None:
-            runner.slots.adopt(profile, self.clock())
+            runner.concurrency.adopt(profile, self.clock())
 
     def list_unpublished(self):
         """Return the names of services with observations worth publishing."""
@@ -130,11 +130,11 @@
         return [
             name
             for name, runner in self.runners.items()
-            if runner.slots.should_publish(now)
+            if runner.concurrency.should_publish(now)
         ]
 
     def take_unreported(self, only_urgent):
-        """Return a Profile of observations unreported to the relay, or None.
+        """Return a Profile of this node's unreported observations, or None if none.
 
         Parameters
         ----------
@@ -144,9 +144,9 @@
         """
         now = self.clock()
         observations = {
-            name: runner.slots.take_unreported(now)
+            name: runner.concurrency.take_unreported(now)
             for name, runner in self.runners.items()
-            if not (only_urgent and runner.slots.is_stable(now))
+            if not (only_urgent and runner.concurrency.is_stable(now))
         }
         observations = {
             name: profile
@@ -163,12 +163,14 @@
         now = self.clock()
         for name, observations in profile.services.items():
             if name in self.blackboard.configuration.services:
-                self.get(name).slots.merge_report(observations, now)
+                self.get(name).concurrency.merge_report(observations, now)
 
     def build_profiles(self, names):
         """Return the ServiceProfile of each of the services by name."""
         now = self.clock()
-        return {name: self.runners[name].slots.build_profile(now) for name in names}
+        return {
+            name: self.runners[name].concurrency.build_profile(now) for name in names
+        }
 
     def mark_published(self, profiles):
         """Record that the profiles of some services have been published.
@@ -181,7 +183,7 @@
         now = self.clock()
         for name, profile in profiles.items():
             if name in self.runners:
-                self.runners[name].slots.mark_published(profile, now)
+                self.runners[name].concurrency.mark_published(profile, now)
 
     def record_suspicion(self, endpoint, ratio):
         """Record another node's suspicion of an endpoint."""
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_exchange.py
@@ -61,7 +61,7 @@
     def __init__(self, runner):
         self.runner = runner
         self.connection = RecordingConnection()
-        self.kept = []
+        self.returned = []
 
     def take(self):
         dispatcher = self.runner.dispatcher
@@ -70,7 +70,7 @@
         return self.connection
 
     def give_back(self, connection, idle_seconds=None):
-        self.kept.append(connection)
+        self.returned.append(connection)
 
     def discard(self, connection):
         pass
@@ -131,12 +131,12 @@
         self.exchange = Exchange(self.runner, request, Counters(), OwnFormat())
         state = self.runner.dispatcher.states["i1"]
         send = self.runner.dispatcher.start_send(self.ticket, state, now)
-        self.end = self.exchange.sends.start(send)
+        self.status = self.exchange.sends.start(send)
 
     def test_the_request_is_not_written(self):
-        self.assertIs(self.end, SendStatus.NOT_SENT)
+        self.assertIs(self.status, SendStatus.NOT_SENT)
         self.assertEqual(self.pool.connection.written, [])
-        self.assertEqual(self.pool.kept, [self.pool.connection])
+        self.assertEqual(self.pool.returned, [self.pool.connection])
 
     def test_it_has_not_run_and_is_not_counted_as_a_send(self):
         self.assertFalse(self.ticket.exposed)
@@ -156,7 +156,7 @@
         pool = BackoffPool(runner)
         runner.get_query_client(OwnFormat(), Counters())._query_endpoint("i1", pool)
         self.assertEqual(pool.connection.written, [])
-        self.assertEqual(pool.kept, [pool.connection])
+        self.assertEqual(pool.returned, [pool.connection])
 
 
 class StepTests(unittest.TestCase):
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_guarded.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_guarded.py
@@ -42,7 +42,7 @@
     def test_a_request_quarantined_while_it_waits_is_not_sent(self):
         send = self.start_send()
         self.crash_endpoints(3.0, 1.5, 0.0)
-        refusal = self.exchange._carry_out(send)
+        refusal = self.exchange._execute_send(send)
         self.assertIs(refusal.reason, RefusalReason.QUARANTINED)
         self.assertIs(refusal.outcome, Outcome.NOT_RUN)
         self.assertGreater(refusal.retry_after, 500.0)
@@ -51,7 +51,7 @@
     def test_outcome_is_unknown_after_an_earlier_send(self):
         self.ticket.exposed = True
         self.crash_endpoints(3.0, 1.5, 0.0)
-        refusal = self.exchange._carry_out(self.start_send())
+        refusal = self.exchange._execute_send(self.start_send())
         self.assertIs(refusal.outcome, Outcome.UNKNOWN)
 
     def test_a_suspected_request_is_not_hedged(self):
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
@@ -175,7 +175,7 @@
 
 
 class HedgeTests(QueryClientTestCase):
-    """A cancelled hedge sends nothing and keeps no token or slot."""
+    """A hedge is sent to a free endpoint; a cancelled one keeps no token or slot."""
 
     def setUp(self):
         super().setUp()
--- a/packages/hingesill-node/hingesill_node/datapath/waits.py
+++ b/packages/hingesill-node/hingesill_node/datapath/waits.py
@@ -1,4 +1,4 @@
-"""Waits for sockets in a green thread: for one, or for the first of several."""
+"""Waiting for one socket, or the first of several, in one green thread."""
 
 import greenlet
 from eventlet import hubs
