--- a/packages/hingesill-core/hingesill_core/probing/tests/test_probetarget.py
+++ b/packages/hingesill-core/hingesill_core/probing/tests/test_probetarget.py
@@ -25,7 +25,9 @@
 
     def record(self, backoff, leaving, now):
         for address in ADDRESSES[1:]:
-            self.dispatcher.service_availability.record(address, 0, backoff, leaving, now)
+            self.dispatcher.service_availability.record(
+                address, 0, backoff, leaving, now
+            )
 
     def test_an_endpoint_in_backoff_is_not_probed(self):
         self.record(RequestedBackoff(30.0), False, 10.0)
