--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_difference.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_difference.py
@@ -1,4 +1,4 @@
-"""Tests of what changed between two snapshots."""
+"""Tests of the changes between two snapshots."""
 
 import unittest
 
@@ -31,13 +31,13 @@
         )
         self.before = self.directory.build_snapshot()
 
-    def find(self):
+    def find_changes_since_start(self):
         return find_changes(self.before, self.directory.build_snapshot())
 
     def test_nothing_changed(self):
-        self.assertEqual(self.find(), Changes(Position(0, 3)))
+        self.assertEqual(self.find_changes_since_start(), Changes(Position(0, 3)))
 
-    def test_what_changed_leads_from_one_to_the_other(self):
+    def test_changes_lead_from_one_snapshot_to_the_other(self):
         gone = {"i1": None, "i2": build_endpoint("i2", True)}
         nodes = {"n2": NodeRecord("n2", "10.0.0.3:1", "a")}
         self.directory.apply_changes(
@@ -45,10 +45,10 @@
         )
         other = Directory()
         other.apply_snapshot(self.before, 0.0)
-        other.apply_changes(self.find(), 0.0)
+        other.apply_changes(self.find_changes_since_start(), 0.0)
         self.assertEqual(other.build_snapshot(), self.directory.build_snapshot())
 
-    def test_a_whole_read_that_repeats_what_is_known_is_no_change(self):
+    def test_a_full_read_of_known_records_is_no_change(self):
         endpoints = {name: build_endpoint(name) for name in ("i1", "i2")}
         nodes = {
             "n1": NodeRecord("n1", "10.0.0.2:1", "a"),
@@ -58,5 +58,6 @@
             Snapshot(Position(0, 4), None, endpoints, nodes), 0.0
         )
         self.assertEqual(
-            self.find(), Changes(Position(0, 4), nodes={"n2": nodes["n2"]})
+            self.find_changes_since_start(),
+            Changes(Position(0, 4), nodes={"n2": nodes["n2"]}),
         )
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_directory.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of what a node believes of declarations and endpoints."""
+"""Tests of a node's view of declarations, endpoints and nodes."""
 
 import unittest
 
@@ -50,7 +50,7 @@
         directory.apply_changes(Changes(Position(0, 11), build_declared(6)), 1.0)
         self.assertEqual(directory.declared.version, 7)
 
-    def test_what_a_read_lacks_is_gone(self):
+    def test_entries_missing_from_a_read_are_removed(self):
         directory = Directory()
         directory.apply_snapshot(build_snapshot(10, "i1", "i2"), 0.0)
         directory.apply_snapshot(build_snapshot(11, "i2"), 1.0)
@@ -74,7 +74,7 @@
         self.directory.apply_snapshot(build_snapshot(10, "i1", "i2"), 0.0)
         self.directory.record_return(20.0)
 
-    def test_an_entry_that_lapsed_is_believed_for_a_while(self):
+    def test_removal_of_a_lapsed_entry_is_deferred(self):
         self.directory.apply_snapshot(build_snapshot(12, "i1"), 20.0)
         self.assertEqual(sorted(self.directory.endpoints), ["i1", "i2"])
         self.assertEqual(
@@ -85,7 +85,7 @@
         )
         self.assertEqual(list(self.directory.endpoints), ["i1"])
 
-    def test_an_entry_that_comes_back_stays(self):
+    def test_an_entry_written_again_stays(self):
         self.directory.apply_snapshot(build_snapshot(12, "i1"), 20.0)
         self.directory.apply_changes(
             Changes(Position(0, 13), None, {"i2": build_record("i2")}), 21.0
@@ -93,7 +93,7 @@
         self.assertEqual(self.directory.apply_due_updates(30.0), [])
         self.assertIn("i2", self.directory.endpoints)
 
-    def test_one_that_was_leaving_is_not_believed(self):
+    def test_removal_of_a_leaving_endpoint_is_not_deferred(self):
         leaving = build_record("i2", leaving=True)
         self.directory.apply_changes(
             Changes(Position(0, 12), None, {"i2": leaving}), 20.0
@@ -101,7 +101,7 @@
         self.directory.apply_changes(Changes(Position(0, 13), None, {"i2": None}), 20.5)
         self.assertNotIn("i2", self.directory.endpoints)
 
-    def test_a_removal_long_after_the_return_counts_at_once(self):
+    def test_a_removal_long_after_the_return_applies_at_once(self):
         now = 20.0 + MISSING_ENDPOINT_SECONDS + 0.1
         self.directory.apply_changes(Changes(Position(0, 12), None, {"i2": None}), now)
         self.assertNotIn("i2", self.directory.endpoints)
@@ -117,7 +117,7 @@
         service = build_services(directory, RULES)["arena"]
         self.assertEqual([e.identity for e in service.endpoints], ["i1"])
 
-    def test_an_address_used_again_is_another_endpoint(self):
+    def test_instances_at_one_address_are_separate_endpoints(self):
         directory = Directory(declared=build_declared(1))
         records = [build_record("i1"), build_record("i2")]
         directory.apply_changes(
@@ -126,7 +126,7 @@
         service = build_services(directory, RULES)["arena"]
         self.assertEqual([e.identity for e in service.endpoints], ["i1", "i2"])
 
-    def test_parts_share_by_weight(self):
+    def test_weighted_services_share_by_weight(self):
         parts = (WeightedService("arena", 90), WeightedService("ledger", 10))
         route = Route("", "", "/a/", True, True, 1.0, parts=parts)
 
@@ -141,7 +141,7 @@
 
 
 class NodeTests(unittest.TestCase):
-    def test_nodes_come_and_go(self):
+    def test_nodes_are_added_and_removed(self):
         directory = Directory()
         node = NodeRecord("n1", "10.0.0.9:7000", "a")
         directory.apply_changes(Changes(Position(0, 1), None, {}, {"n1": node}), 0.0)
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_evacuations.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of what a node believes of evacuated data centres."""
+"""Tests of a node's view of evacuated data centres."""
 
 import unittest
 
@@ -46,7 +46,7 @@
             Changes(Position(0, revision), evacuated=requested), 0.0
         )
 
-    def test_its_endpoints_get_nothing_until_it_is_restored(self):
+    def test_endpoints_are_left_out_until_withdrawal(self):
         self.evacuate(5, b=5)
         self.assertEqual(list_endpoints(self.directory), ["i-a", "i-c"])
         self.evacuate(9, b=None)
@@ -57,14 +57,14 @@
         self.evacuate(5, b=5)
         self.assertGreater(self.directory.generation, before)
 
-    def test_two_at_once(self):
+    def test_two_evacuations_at_once(self):
         self.evacuate(5, b=5)
         self.evacuate(6, c=6)
         self.assertEqual(list_endpoints(self.directory), ["i-a"])
         self.evacuate(7, b=None)
         self.assertEqual(list_endpoints(self.directory), ["i-a", "i-b"])
 
-    def test_one_that_follows_its_own_end(self):
+    def test_an_evacuation_withdrawn_and_requested_again(self):
         self.evacuate(5, b=5)
         self.evacuate(8, b=8)
         self.assertEqual(self.directory.evacuated, {"b": 8})
@@ -73,11 +73,11 @@
         self.evacuate(5, a=5, b=5, c=5)
         self.assertEqual(list_endpoints(self.directory), [])
 
-    def test_one_that_nobody_knows(self):
+    def test_an_unknown_data_centre(self):
         self.evacuate(5, nowhere=5)
         self.assertEqual(list_endpoints(self.directory), ["i-a", "i-b", "i-c"])
 
-    def test_an_endpoint_that_comes_meanwhile_gets_nothing(self):
+    def test_an_endpoint_added_during_an_evacuation_is_left_out(self):
         self.evacuate(5, b=5)
         record = EndpointRecord("i-new", "arena", "10.0.0.2:80", "b", 2)
         self.directory.apply_changes(
@@ -97,7 +97,7 @@
         )
         self.assertEqual(self.directory.evacuated, {})
 
-    def test_another_node_is_told(self):
+    def test_changes_include_evacuations(self):
         before = self.directory.build_snapshot()
         self.evacuate(5, b=5, c=5)
         self.evacuate(6, c=None)
@@ -124,8 +124,8 @@
 
 class OrderTests(unittest.TestCase):
     @given(build_histories(), st.data())
-    def test_whatever_is_heard_nothing_goes_back(self, states, data):
-        """Reads of any age and the changes that follow what is known, in any order."""
+    def test_evacuations_match_the_position_in_any_order_of_updates(self, states, data):
+        """Applies stale and current reads and later changes in any order."""
         directory = build_directory()
         for _ in range(data.draw(st.integers(1, 10))):
             revision = data.draw(st.integers(1, len(states)))
@@ -134,8 +134,10 @@
                 directory.apply_snapshot(read, 0.0)
             elif revision > directory.position.revision:
                 known = Snapshot(directory.position, evacuated=directory.evacuated)
-                told = Snapshot(Position(0, revision), evacuated=states[revision - 1])
-                directory.apply_changes(find_changes(known, told), 0.0)
+                reported = Snapshot(
+                    Position(0, revision), evacuated=states[revision - 1]
+                )
+                directory.apply_changes(find_changes(known, reported), 0.0)
             self.assertEqual(
                 directory.evacuated, states[directory.position.revision - 1]
             )
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_fleetsize.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_fleetsize.py
@@ -1,4 +1,4 @@
-"""Tests of how many nodes share the fleet's budgets."""
+"""Tests of the number of nodes that share the fleet's budgets."""
 
 import unittest
 
@@ -6,17 +6,17 @@
 
 
 class FleetSizeTests(unittest.TestCase):
-    def test_entries_that_lapse_at_once_do_not_free_the_budget(self):
+    def test_entries_that_lapse_at_once_do_not_reduce_the_size(self):
         size = FleetSize()
         self.assertEqual(size.record(140, 0.0), 140)
         self.assertEqual(size.record(0, 5.0), 140)
         self.assertEqual(size.record(90, 6.0), 140)
 
-    def test_a_smaller_count_that_lasts_is_taken(self):
+    def test_a_smaller_count_applies_after_the_window(self):
         size = FleetSize()
         size.record(140, 0.0)
         size.record(90, 1.0)
         self.assertEqual(size.record(90, FLEET_SIZE_WINDOW_SECONDS + 0.5), 90)
 
-    def test_there_is_at_least_this_node(self):
+    def test_the_size_is_at_least_one(self):
         self.assertEqual(FleetSize().record(0, 0.0), 1)
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_relays.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Tests of which nodes watch the store for others."""
+"""Tests of the selection of relays."""
 
 import random
 import unittest
@@ -17,7 +17,7 @@
 
 
 class RelayListTests(unittest.TestCase):
-    def test_the_strongest_of_each_data_centre(self):
+    def test_the_strongest_node_of_each_data_centre(self):
         nodes = [
             build_node("n1"),
             build_node("n2", strength=2.0),
@@ -27,11 +27,11 @@
         names = [relay.name for relay in list_relays(nodes)]
         self.assertEqual(names, ["n2", "n3"])
 
-    def test_large_data_centres_have_more(self):
+    def test_large_data_centres_have_more_relays(self):
         nodes = [build_node(f"n{number:04}") for number in range(2 * NODES_PER_RELAY)]
         self.assertEqual(len(list_relays(nodes)), 3)
 
-    def test_all_nodes_work_out_the_same(self):
+    def test_all_nodes_compute_the_same_relays(self):
         nodes = [build_node(f"n{number}", "ab"[number % 2]) for number in range(9)]
         shuffled = random.Random(1).sample(nodes, len(nodes))
         self.assertEqual(list_relays(nodes), sorted(list_relays(shuffled), key=str))
@@ -47,32 +47,32 @@
         self.nodes = {node.name: node for node in nodes}
         self.choice = RelayChoice(self.nodes["own"], random.Random(1))
 
-    def test_one_nearby_goes_first(self):
+    def test_relays_in_the_own_data_centre_are_preferred(self):
         chosen = {self.choice.choose(self.nodes, 0.0).name for _ in range(9)}
         self.assertEqual(chosen, {"relay-a"})
 
-    def test_a_relay_follows_nobody(self):
+    def test_a_relay_follows_no_relay(self):
         choice = RelayChoice(self.nodes["relay-a"], random.Random(1))
         self.assertIsNone(choice.choose(self.nodes, 0.0))
         self.assertTrue(choice.is_relay(self.nodes))
 
-    def test_one_that_failed_is_passed_over_and_tried_again(self):
+    def test_a_failed_relay_is_skipped_until_its_back_off_ends(self):
         self.choice.record_failure(self.nodes["relay-a"], 5.0)
         self.assertEqual(self.choice.choose(self.nodes, 5.1).name, "relay-b")
         later = 5.0 + MAX_BACKOFF_SECONDS
         self.assertEqual(self.choice.choose(self.nodes, later).name, "relay-a")
 
-    def test_other_nodes_lead_to_other_relays(self):
+    def test_changed_nodes_change_the_relays(self):
         self.choice.choose(self.nodes, 0.0)
         nodes = {**self.nodes, "strong": build_node("strong", strength=3.0)}
         self.assertEqual(self.choice.choose(nodes, 0.0).name, "strong")
 
-    def test_nobody_is_left_once_all_have_failed(self):
+    def test_no_relay_is_chosen_while_all_back_off(self):
         for relay in (self.nodes["relay-a"], self.nodes["relay-b"]):
             self.choice.record_failure(relay, 5.0)
         self.assertIsNone(self.choice.choose(self.nodes, 5.1))
 
-    def test_rests_grow_with_failures_in_a_row(self):
+    def test_back_off_grows_with_consecutive_failures(self):
         for _ in range(9):
             self.choice.record_failure(self.nodes["relay-a"], 5.0)
         almost = 5.0 + MAX_BACKOFF_SECONDS - 0.01
--- a/packages/hingesill-core/hingesill_core/discovery/tests/test_restores.py
+++ b/packages/hingesill-core/hingesill_core/discovery/tests/test_restores.py
@@ -1,7 +1,7 @@
-"""Tests of a store that comes back from an older copy of itself.
+"""Tests of a store that is restored from an older copy of itself.
 
-Each kind of record has two ways in which the copy is wrong: it lacks what was written
-since, and it has what ended since.
+For each kind of record the copy lacks records that were written after it was made, and
+has records that were removed after it was made.
 """
 
 import unittest
@@ -21,7 +21,7 @@
 from hingesill_core.discovery.recordtable import RecordTable
 from hingesill_core.discovery.tests.test_directory import build_declared, build_record
 
-BACK = 20.0
+RETURNED_AT = 20.0
 NODES = {name: NodeRecord(name, f"10.0.0.{name[1]}:1", "a") for name in ("n1", "n2")}
 
 
@@ -30,11 +30,11 @@
 
 
 class PositionTests(unittest.TestCase):
-    def test_a_later_era_leads_whatever_its_revision(self):
+    def test_a_later_era_is_later_whatever_its_revision(self):
         self.assertLess(Position(1, 81), Position(2, 65))
         self.assertLess(Position(2, 65), Position(2, 66))
 
-    def test_a_text_is_read_back(self):
+    def test_text_is_parsed(self):
         self.assertEqual(parse_position(str(Position(3, 12))), Position(3, 12))
         for text in ("", "12", "a.b", "1.-2", "1.2.3"):
             with self.subTest(text=text):
@@ -42,7 +42,7 @@
 
 
 class RestoreCase(unittest.TestCase):
-    """A directory at revision 81 of era 1; the store comes back with 65."""
+    """A directory at revision 81 of era 1; the store is restored to revision 65."""
 
     def setUp(self):
         self.directory = Directory()
@@ -60,7 +60,7 @@
             Changes(Position(era, revision), **fields), now
         )
 
-    def restore(self, *records, era=2, now=BACK, **fields):
+    def restore(self, *records, era=2, now=RETURNED_AT, **fields):
         self.directory.record_return(now)
         self.assertTrue(self.apply_snapshot(era, 65, now, *records, **fields))
 
@@ -73,29 +73,29 @@
     def get_version(self):
         return self.directory.declared.version
 
-    def test_one_that_was_accepted_stays_in_force_and_is_told_on(self):
+    def test_an_accepted_version_stays_in_force_and_is_published(self):
         self.restore(declared=build_declared(21))
         self.assertEqual(self.get_version(), 24)
         self.assertEqual(self.directory.build_snapshot().declared.version, 24)
 
-    def test_the_next_one_comes_into_force_under_an_old_revision(self):
+    def test_the_next_version_applies_under_an_old_revision(self):
         self.restore(declared=build_declared(21))
         self.assertTrue(self.write(2, 66, 21.0, declared=build_declared(27)))
         self.assertEqual(self.get_version(), 27)
 
-    def test_one_written_again_with_other_content_is_taken(self):
+    def test_a_version_written_again_with_other_content_applies(self):
         self.restore(declared=build_declared(21))
         other = build_declared(24, "another route")
         self.write(2, 66, 21.0, declared=other)
         self.assertEqual(self.directory.declared, other)
 
-    def test_a_late_answer_of_the_era_before_changes_nothing(self):
+    def test_a_late_answer_of_an_earlier_era_changes_nothing(self):
         self.restore(declared=build_declared(21))
         self.assertFalse(self.apply_snapshot(1, 90, 21.0, declared=build_declared(30)))
         self.assertFalse(self.write(1, 91, 21.0, declared=build_declared(31)))
         self.assertEqual(self.get_version(), 24)
 
-    def test_another_node_that_is_cut_off_tells_what_the_copy_lacks(self):
+    def test_a_node_cut_off_from_the_store_supplies_a_lost_version(self):
         fresh = Directory()
         fresh.apply_snapshot(Snapshot(Position(2, 65), build_declared(21)), 0.0)
         self.assertTrue(fresh.merge_snapshot(self.directory.build_snapshot(), 0.0))
@@ -103,16 +103,16 @@
         self.assertEqual(fresh.position, Position(2, 65))
         self.assertFalse(fresh.merge_snapshot(self.directory.build_snapshot(), 0.0))
 
-    def test_a_store_without_eras_goes_by_revisions(self):
+    def test_a_store_without_eras_is_ordered_by_revisions(self):
         directory = Directory()
         directory.apply_snapshot(Snapshot(Position(0, 81)), 0.0)
         self.assertFalse(directory.apply_snapshot(Snapshot(Position(0, 65)), 1.0))
 
     @given(st.lists(st.tuples(st.integers(1, 4), st.integers(1, 30)), max_size=20))
-    def test_versions_only_grow(self, told):
+    def test_versions_only_grow(self, updates):
         directory = Directory()
         seen = 0
-        for number, (era, version) in enumerate(told):
+        for number, (era, version) in enumerate(updates):
             position = Position(era, number % 7)
             directory.apply_snapshot(Snapshot(position, build_declared(version)), 0.0)
             if directory.declared is not None:
@@ -121,74 +121,76 @@
 
 
 class EndpointTests(RestoreCase):
-    def list_working(self):
+    def list_not_leaving(self):
         endpoints = self.directory.endpoints.values()
         return sorted(r.instance for r in endpoints if not r.leaving)
 
-    def test_missing_ones_are_believed_until_they_must_be_back(self):
+    def test_removal_of_missing_endpoints_is_deferred(self):
         self.restore(build_record("i1"))
-        self.assertEqual(self.list_working(), ["i1", "i2"])
-        self.directory.apply_due_updates(BACK + MISSING_ENDPOINT_SECONDS)
-        self.assertEqual(self.list_working(), ["i1"])
+        self.assertEqual(self.list_not_leaving(), ["i1", "i2"])
+        self.directory.apply_due_updates(RETURNED_AT + MISSING_ENDPOINT_SECONDS)
+        self.assertEqual(self.list_not_leaving(), ["i1"])
 
-    def test_one_that_ended_since_gets_no_new_work(self):
+    def test_an_endpoint_removed_after_the_copy_gets_no_requests(self):
         self.write(1, 82, 1.0, endpoints={"i2": None})
         self.restore(build_record("i1"), build_record("i2"))
-        self.assertEqual(self.list_working(), ["i1"])
-        # Another whole read repeats the copy's word; it is no news of the endpoint.
-        self.apply_snapshot(2, 66, BACK + 1.0, build_record("i1"), build_record("i2"))
-        self.assertEqual(self.list_working(), ["i1"])
-        self.write(2, 67, BACK + 4.0, endpoints={"i2": None})
-        self.directory.apply_due_updates(BACK + REVIVED_ENDPOINT_SECONDS)
-        self.assertEqual(self.list_working(), ["i1"])
-
-    def test_one_that_was_given_up_and_lives_is_believed_when_it_writes(self):
+        self.assertEqual(self.list_not_leaving(), ["i1"])
+        # Another full read repeats the copy's entry, and does not confirm the endpoint.
+        self.apply_snapshot(
+            2, 66, RETURNED_AT + 1.0, build_record("i1"), build_record("i2")
+        )
+        self.assertEqual(self.list_not_leaving(), ["i1"])
+        self.write(2, 67, RETURNED_AT + 4.0, endpoints={"i2": None})
+        self.directory.apply_due_updates(RETURNED_AT + REVIVED_ENDPOINT_SECONDS)
+        self.assertEqual(self.list_not_leaving(), ["i1"])
+
+    def test_a_removed_endpoint_that_writes_again_is_applied(self):
         self.write(1, 82, 1.0, endpoints={"i2": None})
         self.restore(build_record("i1"), build_record("i2"))
         self.write(2, 66, 21.0, endpoints={"i2": build_record("i2")})
-        self.assertEqual(self.list_working(), ["i1", "i2"])
+        self.assertEqual(self.list_not_leaving(), ["i1", "i2"])
 
-    def test_or_when_its_entry_stands_longer_than_that_of_a_dead_one(self):
+    def test_an_entry_that_outlasts_the_deferral_is_applied(self):
         self.write(1, 82, 1.0, endpoints={"i2": None})
         self.restore(build_record("i1"), build_record("i2"))
-        self.directory.apply_due_updates(BACK + REVIVED_ENDPOINT_SECONDS)
-        self.assertEqual(self.list_working(), ["i1", "i2"])
+        self.directory.apply_due_updates(RETURNED_AT + REVIVED_ENDPOINT_SECONDS)
+        self.assertEqual(self.list_not_leaving(), ["i1", "i2"])
 
-    def test_another_life_of_one_that_ended_is_believed_at_once(self):
+    def test_a_newer_incarnation_of_a_removed_endpoint_applies_at_once(self):
         self.write(1, 82, 1.0, endpoints={"i2": None})
         self.restore(build_record("i1"), build_record("i2", born=50))
-        self.assertEqual(self.list_working(), ["i1", "i2"])
+        self.assertEqual(self.list_not_leaving(), ["i1", "i2"])
 
-    def test_the_life_before_is_not(self):
+    def test_a_previous_incarnation_does_not_apply(self):
         self.write(1, 82, 1.0, endpoints={"i2": build_record("i2", born=200)})
         self.restore(build_record("i1"), build_record("i2", born=100))
         self.assertEqual(self.directory.endpoints["i2"].born, 200)
 
-    def test_a_drain_that_was_said_holds(self):
+    def test_a_drain_that_the_copy_lacks_stays_in_force(self):
         leaving = build_record("i2", leaving=True)
         self.write(1, 82, 1.0, endpoints={"i2": leaving})
         self.restore(build_record("i1"), build_record("i2"))
-        self.assertEqual(self.list_working(), ["i1"])
+        self.assertEqual(self.list_not_leaving(), ["i1"])
         self.write(2, 66, 21.0, endpoints={"i2": leaving})
-        self.directory.apply_due_updates(BACK + REVIVED_ENDPOINT_SECONDS)
-        self.assertEqual(self.list_working(), ["i1"])
+        self.directory.apply_due_updates(RETURNED_AT + REVIVED_ENDPOINT_SECONDS)
+        self.assertEqual(self.list_not_leaving(), ["i1"])
 
-    def test_an_address_that_another_has_since(self):
+    def test_an_address_reused_after_the_copy(self):
         other = build_record("i3")
         self.write(1, 82, 1.0, endpoints={"i2": None, "i3": other})
         self.restore(build_record("i1"), build_record("i2"))
-        self.assertEqual(self.list_working(), ["i1", "i3"])
+        self.assertEqual(self.list_not_leaving(), ["i1", "i3"])
 
     def test_twice_in_a_row(self):
         self.write(1, 82, 1.0, endpoints={"i2": None})
         self.restore(build_record("i1"), build_record("i2"))
         self.write(2, 66, 24.0, endpoints={"i2": None})
         self.restore(build_record("i2"), era=3, now=30.0)
-        self.assertEqual(self.list_working(), ["i1"])
+        self.assertEqual(self.list_not_leaving(), ["i1"])
         self.directory.apply_due_updates(30.0 + MISSING_ENDPOINT_SECONDS)
-        self.assertEqual(self.list_working(), [])
+        self.assertEqual(self.list_not_leaving(), [])
 
-    def test_what_a_relay_tells_leads_followers_along(self):
+    def test_changes_of_a_relay_move_followers_to_the_new_era(self):
         follower = Directory()
         follower.apply_snapshot(self.directory.build_snapshot(), 0.0)
         self.write(1, 82, 1.0, endpoints={"i2": None})
@@ -196,38 +198,38 @@
         before = self.directory.build_snapshot()
         self.restore(build_record("i1"), build_record("i2"), nodes=NODES)
         follower.apply_changes(
-            find_changes(before, self.directory.build_snapshot()), BACK
+            find_changes(before, self.directory.build_snapshot()), RETURNED_AT
         )
         self.assertEqual(follower.position, Position(2, 65))
         self.assertEqual(list(follower.endpoints), ["i1"])
 
 
 class EvacuationTests(RestoreCase):
-    def test_one_asked_for_since_holds_until_it_is_written_again(self):
+    def test_a_lost_evacuation_stays_until_it_is_written_again(self):
         self.write(1, 82, 1.0, evacuated={"a": 82})
         self.restore()
         self.assertEqual(self.directory.evacuated, {"a": 82})
         self.write(2, 66, 21.0, evacuated={"a": 66})
-        self.directory.apply_due_updates(BACK + EVACUATION_DEFERRAL_SECONDS)
+        self.directory.apply_due_updates(RETURNED_AT + EVACUATION_DEFERRAL_SECONDS)
         self.assertEqual(self.directory.evacuated, {"a": 66})
 
-    def test_but_not_for_ever(self):
+    def test_a_lost_evacuation_ends_after_the_deferral(self):
         self.write(1, 82, 1.0, evacuated={"a": 82})
         self.restore()
-        self.apply_snapshot(2, 66, BACK + 1.0)
+        self.apply_snapshot(2, 66, RETURNED_AT + 1.0)
         self.assertEqual(self.directory.evacuated, {"a": 82})
-        self.directory.apply_due_updates(BACK + EVACUATION_DEFERRAL_SECONDS)
+        self.directory.apply_due_updates(RETURNED_AT + EVACUATION_DEFERRAL_SECONDS)
         self.assertEqual(self.directory.evacuated, {})
 
-    def test_one_taken_back_since_does_not_begin_again(self):
+    def test_a_withdrawn_evacuation_does_not_start_again(self):
         self.write(1, 82, 1.0, evacuated={"a": 60})
         self.write(1, 83, 2.0, evacuated={"a": None})
         self.restore(evacuated={"a": 60})
         self.assertEqual(self.directory.evacuated, {})
-        self.apply_snapshot(2, 66, BACK + 1.0, evacuated={"a": 60})
+        self.apply_snapshot(2, 66, RETURNED_AT + 1.0, evacuated={"a": 60})
         self.assertEqual(self.directory.evacuated, {})
 
-    def test_one_asked_for_after_the_return_is_in_force(self):
+    def test_an_evacuation_requested_after_the_return_applies(self):
         self.write(1, 82, 1.0, evacuated={"a": 60})
         self.write(1, 83, 2.0, evacuated={"a": None})
         self.restore(evacuated={"a": 60})
@@ -236,46 +238,46 @@
 
 
 class NodeTests(RestoreCase):
-    def test_the_fleet_is_not_taken_for_smaller(self):
+    def test_the_fleet_keeps_its_size_after_a_restore(self):
         self.restore()
         self.assertEqual(self.directory.nodes, NODES)
         self.assertEqual(self.directory.unlisted, ("n1", "n2"))
         self.write(2, 66, 21.0, nodes={"n1": NODES["n1"]})
         self.assertEqual(self.directory.unlisted, ("n2",))
-        self.directory.apply_due_updates(BACK + MISSING_NODE_SECONDS)
+        self.directory.apply_due_updates(RETURNED_AT + MISSING_NODE_SECONDS)
         self.assertEqual(list(self.directory.nodes), ["n1"])
 
-    def test_followers_know_whose_entries_are_missing(self):
+    def test_followers_know_which_entries_are_missing(self):
         follower = Directory()
         follower.apply_snapshot(self.directory.build_snapshot(), 0.0)
         before = self.directory.build_snapshot()
         self.restore()
-        told = self.directory.build_snapshot()
-        follower.apply_changes(find_changes(before, told), BACK)
+        after = self.directory.build_snapshot()
+        follower.apply_changes(find_changes(before, after), RETURNED_AT)
         self.assertEqual(follower.unlisted, ("n1", "n2"))
         generation = self.directory.generation
         self.write(2, 66, 21.0, nodes={"n1": NODES["n1"]})
         self.assertGreater(self.directory.generation, generation)
         follower.apply_changes(
-            find_changes(told, self.directory.build_snapshot()), 21.0
+            find_changes(after, self.directory.build_snapshot()), 21.0
         )
         self.assertEqual(follower.unlisted, ("n2",))
 
-    def test_in_one_era_a_node_that_is_missing_is_gone(self):
+    def test_a_node_missing_within_an_era_is_removed(self):
         self.apply_snapshot(1, 82, 1.0, nodes={"n1": NODES["n1"]})
         self.assertEqual(list(self.directory.nodes), ["n1"])
 
 
 class CostTests(RestoreCase):
-    def test_what_ended_is_remembered_for_a_minute(self):
+    def test_removed_records_are_kept_for_a_minute(self):
         table = RecordTable()
         for number in range(200):
             table.update(f"i{number}", build_record("i"), None, number)
             table.update(f"i{number}", None, None, number)
         self.assertEqual(len(table.removed), 61)
 
-    def test_a_read_that_repeats_what_is_known_changes_little(self):
-        """The era is told on; no record is replaced."""
+    def test_a_restored_copy_of_known_records_changes_only_the_position(self):
+        """The new era is published; no record is replaced."""
         before = self.directory.build_snapshot()
         self.restore(build_record("i1"), build_record("i2"), nodes=dict(NODES))
         changes = find_changes(before, self.directory.build_snapshot())
