--- a/packages/hingesill-node/hingesill_node/discovery/tests/spoiling.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/spoiling.py
@@ -1,17 +1,17 @@
-"""Spoils bytes as a bad writer, or a link, might."""
+"""Corrupts bytes as a faulty writer or network link might."""
 
 __all__ = ["spoil"]
 
 
 def spoil(rng, data):
-    """Return bytes of which a few are others, gone or too many.
+    """Return bytes of which a few are changed, removed or inserted.
 
     Parameters
     ----------
     rng : random.Random
-        Decides which.
+        Chooses the changes.
     data : bytes
-        Whole; not empty.
+        The intact bytes; not empty.
     """
     data = bytearray(data)
     for _ in range(rng.randint(1, 4)):
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_follower.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Tests of following a store that fails in every way its pages describe."""
+"""Tests of following a store with the failures that its documentation describes."""
 
 import unittest
 from collections import deque
@@ -39,7 +39,7 @@
 
 
 class ScriptedSource:
-    """A source whose answers a test lines up; without one a watch waits."""
+    """A source with scripted answers; a watch without one waits."""
 
     def __init__(self, reads=(), waits=()):
         self.reads = deque(reads)
@@ -62,7 +62,7 @@
 
 
 class SilentSource(ScriptedSource):
-    """A source whose watches tell nothing, not even that their time is over."""
+    """A source whose watches return nothing, not even after their wait."""
 
     ANSWER_SECONDS = 1.0
 
@@ -102,7 +102,7 @@
 
 
 class FollowerTests(FollowerCase):
-    def test_a_watch_goes_on_from_what_was_read(self):
+    def test_a_watch_continues_from_the_read_position(self):
         source = ScriptedSource(
             [build_snapshot(5)], [Changes(Position(0, 7), build_declared(2))]
         )
@@ -112,20 +112,20 @@
         self.assertEqual(source.waited_from, [Position(0, 5)])
         self.assertEqual(follower.directory.position, Position(0, 7))
 
-    def test_forgotten_history_leads_to_a_whole_read(self):
+    def test_dropped_history_leads_to_a_full_read(self):
         reads = [build_snapshot(5), build_snapshot(9, 4)]
         follower = self.build(ScriptedSource(reads, [HistoryGone()]))
         self.advance(follower, 3)
         self.assertEqual(self.published, [1, 4])
 
-    def test_a_cut_watch_is_no_outage(self):
+    def test_a_closed_watch_is_no_outage(self):
         reads = [build_snapshot(5, 1, ("i1", "i2")), build_snapshot(6, 1, ("i1",))]
         follower = self.build(ScriptedSource(reads, [FAILED]))
         self.advance(follower, 3)
         self.assertTrue(follower.is_store_available)
         self.assertEqual(list(follower.directory.endpoints), ["i1"])
 
-    def test_entries_missing_after_an_outage_are_believed_for_a_while(self):
+    def test_removal_of_entries_missing_after_an_outage_is_deferred(self):
         reads = [
             build_snapshot(5, 1, ("i1", "i2")),
             FAILED,
@@ -135,13 +135,13 @@
         self.advance(follower, 4)
         self.assertEqual(sorted(follower.directory.endpoints), ["i1", "i2"])
 
-    def test_a_stale_read_is_not_taken(self):
+    def test_a_stale_read_is_not_applied(self):
         reads = [build_snapshot(5, 3), build_snapshot(4, 2), build_snapshot(6, 4)]
         follower = self.build(ScriptedSource(reads, [HistoryGone()]))
         self.advance(follower, 4)
         self.assertEqual(self.published, [3, 4])
 
-    def test_a_deaf_watch_is_ended_and_all_is_read(self):
+    def test_a_broken_watch_is_interrupted_and_a_full_read_follows(self):
         reads = [build_snapshot(5, 1), build_snapshot(9, 2)]
         source = ScriptedSource(reads)
         source.position = Position(0, 9)
@@ -156,14 +156,14 @@
         self.assertEqual(self.published, [1, 2])
         self.assertTrue(follower.is_store_available)
 
-    def test_a_watch_that_is_silent_from_its_start_is_given_up_soon(self):
+    def test_a_watch_that_is_silent_from_its_start_ends_soon(self):
         source = SilentSource([build_snapshot(5, 1), build_snapshot(9, 2)])
         follower = self.build(source)
         with eventlet.Timeout(2.0):
             self.advance(follower, 3)
         self.assertEqual(self.published, [1, 2])
 
-    def test_watches_are_long_once_one_has_worked(self):
+    def test_watches_are_long_some_time_after_a_read(self):
         now = [100.0]
         source = ScriptedSource(
             [build_snapshot(5, 1)], [Changes(Position(0, 7)), Changes(Position(0, 8))]
@@ -180,7 +180,7 @@
         self.advance(follower, 1)
         self.assertEqual(seconds, [SHORT_WATCH_SECONDS, WATCH_SECONDS])
 
-    def test_a_check_that_fails_ends_the_watch_as_an_outage(self):
+    def test_a_failed_check_ends_the_watch_as_an_outage(self):
         source = ScriptedSource([build_snapshot(5, 1)])
         follower = self.build(source)
         self.advance(follower, 1)
@@ -191,7 +191,7 @@
             waiting.wait()
         self.assertFalse(follower.is_store_available)
 
-    def test_another_node_tells_while_the_store_is_away(self):
+    def test_a_peer_supplies_changes_while_the_store_is_unavailable(self):
         peers = OnePeer(build_snapshot(12, 8))
         follower = self.build(ScriptedSource([build_snapshot(5, 1)]), peers)
         self.advance(follower, 1)
@@ -199,7 +199,7 @@
         follower._query_peer()
         self.assertEqual(self.published, [1, 8])
 
-    def test_another_node_that_is_behind_changes_nothing(self):
+    def test_a_peer_that_is_behind_changes_nothing(self):
         peers = OnePeer(build_snapshot(4, 1, ()))
         follower = self.build(ScriptedSource([build_snapshot(5, 1)]), peers)
         self.advance(follower, 1)
@@ -209,20 +209,20 @@
 
 
 def build_restored(revision, version=1, instances=("i1",), era=2):
-    """Return a snapshot of a store that came back from an older copy."""
+    """Return a snapshot of a store that was restored from an older copy."""
     snapshot = build_snapshot(revision, version, instances)
     return replace(snapshot, position=Position(era, revision))
 
 
 class RestoredStoreTests(FollowerCase):
-    """The store comes back from an older copy: a revision below what is held."""
+    """The store is restored from an older copy, with a lower revision."""
 
     def follow(self, reads, waits):
         follower = self.build(ScriptedSource([build_snapshot(81, 24), *reads], waits))
         self.advance(follower, 1)
         return follower
 
-    def test_a_watch_tells_of_the_return(self):
+    def test_a_watch_reports_the_restore(self):
         follower = self.follow([build_restored(65, 21)], [StoreRestored(2)])
         self.advance(follower, 2)
         self.assertEqual(follower.directory.position, Position(2, 65))
@@ -237,7 +237,7 @@
         self.advance(follower, 4)
         self.assertEqual(self.published[-1], 27)
 
-    def test_a_check_ends_a_watch_that_was_not_told(self):
+    def test_a_check_ends_a_watch_that_was_not_notified(self):
         follower = self.follow([build_restored(65, 21)], [])
         follower.source.position = Position(2, 64)
         waiting = eventlet.spawn(self.advance, follower, 2)
@@ -247,7 +247,7 @@
             waiting.wait()
         self.assertEqual(follower.directory.position, Position(2, 65))
 
-    def test_a_stale_check_of_the_era_before_is_no_news(self):
+    def test_a_stale_check_of_an_earlier_era_is_ignored(self):
         follower = self.follow([build_restored(65, 21)], [StoreRestored(2)])
         self.advance(follower, 2)
         waiting = eventlet.spawn(self.advance, follower, 1)
@@ -258,12 +258,12 @@
         self.assertTrue(follower.is_synced)
         waiting.kill()
 
-    def test_entries_missing_after_a_return_without_an_outage(self):
+    def test_entries_missing_after_a_restore_without_an_outage(self):
         follower = self.follow([build_restored(65, 21, ())], [StoreRestored(2)])
         self.advance(follower, 2)
         self.assertEqual(list(follower.directory.endpoints), ["i1"])
 
-    def test_another_node_that_is_cut_off_tells_what_was_accepted(self):
+    def test_a_peer_cut_off_from_the_store_supplies_a_lost_version(self):
         follower = self.build(
             ScriptedSource([build_restored(65, 21)]), OnePeer(build_snapshot(81, 24))
         )
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_frames.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Tests of frames between a relay and its followers, whole and spoiled."""
+"""Tests of frames between a relay and its followers, intact and corrupted."""
 
 import random
 import unittest
@@ -20,7 +20,7 @@
 from hingesill_node.discovery.tests.test_follower import build_declared, build_snapshot
 
 SEED = 33
-SPOILED = 2000
+CORRUPTED_COUNT = 2000
 PROFILE = Profile({"arena": ServiceProfile((LevelProfile(6, 5, 30.0, 0.5),))})
 CHANGES = Changes(
     Position(1, 7),
@@ -44,16 +44,16 @@
 
 
 class FrameTests(unittest.TestCase):
-    def test_frames_are_read_however_they_are_cut(self):
+    def test_frames_are_decoded_from_any_pieces(self):
         reader = FrameReader()
         frames = [f for byte in FRAMES for f in reader.feed(bytes([byte]))]
         self.assertEqual([f.content for f in frames], [SNAPSHOT, None, CHANGES])
         self.assertEqual([f.return_age for f in frames], [0.5, None, None])
 
-    def test_spoiled_frames_are_no_frames(self):
-        """A follower gives such a relay up, as one that is silent."""
+    def test_corrupted_frames_raise_only_value_errors(self):
+        """A follower abandons a relay that sends such frames."""
         rng = random.Random(SEED)
-        for _ in range(SPOILED):
+        for _ in range(CORRUPTED_COUNT):
             try:
                 list(FrameReader().feed(spoil(rng, FRAMES)))
             except ValueError:
@@ -61,14 +61,14 @@
 
 
 class ContentTests(unittest.TestCase):
-    """What is compressed is spoiled before that, so that it is looked at."""
+    """Content is corrupted before its compression, so that it reaches the decoder."""
 
-    def test_spoiled_contents_are_none(self):
+    def test_corrupted_contents_raise_only_value_errors(self):
         rng = random.Random(SEED)
         for content, decode in CONTENTS:
-            kept = encode_json(content)
-            for _ in range(SPOILED):
+            encoded = encode_json(content)
+            for _ in range(CORRUPTED_COUNT):
                 try:
-                    decode(zlib.compress(spoil(rng, kept)))
+                    decode(zlib.compress(spoil(rng, encoded)))
                 except ValueError:
                     continue
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_peers.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of what nodes ask each other."""
+"""Tests of queries between nodes."""
 
 import random
 import unittest
@@ -23,24 +23,24 @@
 
 
 class Peer:
-    """A node that tells what it holds, on loopback."""
+    """A node that serves its directory on loopback."""
 
     def __init__(self, snapshot=None, is_confirmed=True):
         self.directory = Directory()
         if snapshot is not None:
             self.directory.apply_snapshot(snapshot, 0.0)
-        self.asked = 0
+        self.queries = 0
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(8)
         self.is_confirmed = is_confirmed
         application = PeerApplication(
-            self.directory, Feed(self.directory), is_confirmed=self._tell_sure
+            self.directory, Feed(self.directory), is_confirmed=self._count_query
         )
         self.server = start_server(self.listener, application)
 
-    def _tell_sure(self):
-        self.asked += 1
+    def _count_query(self):
+        self.queries += 1
         return self.is_confirmed
 
     def build_record(self, name):
@@ -52,7 +52,7 @@
         self.listener.close()
 
 
-class AskingCase(unittest.TestCase):
+class PeerClientCase(unittest.TestCase):
     def setUp(self):
         self.client = PeerClient("own", "a", random.Random(1))
 
@@ -72,36 +72,36 @@
         return self.client.fetch_newer_at_start(replace(read, nodes=nodes))
 
 
-class StartTests(AskingCase):
-    """A node that starts has read a copy that lacks what was accepted."""
+class StartTests(PeerClientCase):
+    """A starting node has read a copy of the store that lacks an accepted version."""
 
     def setUp(self):
         super().setUp()
         self.read = replace(build_snapshot(65, 21), position=Position(2, 65))
 
-    def test_a_node_that_knows_the_era_before_tells_its_declaration(self):
+    def test_a_node_of_an_earlier_era_supplies_its_declaration(self):
         peer = self.start(replace(build_snapshot(81, 24), position=Position(1, 81)))
-        (told,) = self.fetch_newer_at_start(self.read, peer)
-        self.assertEqual(told.declared.version, 24)
-        self.assertEqual(told.position, Position(1, 81))
+        (newer,) = self.fetch_newer_at_start(self.read, peer)
+        self.assertEqual(newer.declared.version, 24)
+        self.assertEqual(newer.position, Position(1, 81))
 
-    def test_one_that_has_no_more_ends_the_asking(self):
+    def test_a_node_with_nothing_newer_ends_the_queries(self):
         peers = [self.start(self.read) for _ in range(3)]
         self.assertEqual(self.fetch_newer_at_start(self.read, *peers), [])
 
-    def test_one_that_starts_itself_is_not_believed(self):
+    def test_answers_of_starting_nodes_are_ignored(self):
         fresh = [self.start(self.read, False) for _ in range(3)]
         sure = self.start(replace(build_snapshot(66, 24), position=Position(2, 66)))
-        (told,) = self.fetch_newer_at_start(self.read, *fresh, sure)
-        self.assertEqual(told.declared.version, 24)
+        (newer,) = self.fetch_newer_at_start(self.read, *fresh, sure)
+        self.assertEqual(newer.declared.version, 24)
 
-    def test_a_whole_fleet_that_starts_is_not_held_up(self):
+    def test_a_starting_fleet_is_not_delayed(self):
         fresh = [self.start(None, False) for _ in range(9)]
         with eventlet.Timeout(AT_ONCE_SECONDS):
             self.assertEqual(self.fetch_newer_at_start(self.read, *fresh), [])
-        self.assertEqual(sum(peer.asked for peer in fresh), 8)
+        self.assertEqual(sum(peer.queries for peer in fresh), 8)
 
-    def test_dark_nodes_are_not_waited_for(self):
+    def test_nodes_that_do_not_respond_do_not_delay_the_start(self):
         listener = socket.socket()
         self.addCleanup(listener.close)
         listener.bind(("127.0.0.1", 0))
@@ -109,15 +109,15 @@
         address = "127.0.0.1:%d" % listener.getsockname()[1]
         nodes = {f"n{i}": NodeRecord(f"n{i}", address, "a") for i in range(9)}
         with eventlet.Timeout(2 * ROUND_TIMEOUT_SECONDS + AT_ONCE_SECONDS):
-            told = self.client.fetch_newer_at_start(replace(self.read, nodes=nodes))
-        self.assertEqual(told, [])
+            newer = self.client.fetch_newer_at_start(replace(self.read, nodes=nodes))
+        self.assertEqual(newer, [])
 
     def test_without_any_other_node(self):
         self.assertEqual(self.fetch_newer_at_start(self.read), [])
 
 
-class OutageTests(AskingCase):
-    """The store does not answer."""
+class OutageTests(PeerClientCase):
+    """The store is unavailable."""
 
     def fetch_newer(self, directory, peer):
         nodes = self.list_records(peer)
@@ -125,18 +125,18 @@
         directory.apply_snapshot(held, 0.0)
         return self.client.fetch_newer(directory)
 
-    def test_one_that_leads_further_tells_all(self):
+    def test_a_node_that_is_ahead_sends_its_snapshot(self):
         directory = Directory()
         directory.apply_snapshot(build_snapshot(5, 1), 0.0)
-        told = self.fetch_newer(directory, self.start(build_snapshot(12, 8)))
-        self.assertEqual(told.position, Position(0, 12))
+        newer = self.fetch_newer(directory, self.start(build_snapshot(12, 8)))
+        self.assertEqual(newer.position, Position(0, 12))
 
-    def test_one_that_is_behind_tells_nothing(self):
+    def test_a_node_that_is_behind_sends_nothing(self):
         directory = Directory()
         directory.apply_snapshot(build_snapshot(5, 1), 0.0)
         self.assertIsNone(self.fetch_newer(directory, self.start(build_snapshot(4, 1))))
 
-    def test_one_that_answers_nonsense_is_no_news(self):
+    def test_an_invalid_answer_is_ignored(self):
         directory = Directory()
         directory.apply_snapshot(Snapshot(Position(1, 1), build_declared(1)), 0.0)
         listener = socket.socket()
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_profiles.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_profiles.py
@@ -1,4 +1,4 @@
-"""Tests of keeping what nodes have learnt in the store."""
+"""Tests of saving the nodes' observations in the store."""
 
 import unittest
 
@@ -16,8 +16,8 @@
 from hingesill_node.discovery.codec import decode_snapshot, encode
 from hingesill_node.discovery.profiles import MIN_WRITE_INTERVAL_SECONDS, ProfileStore
 
-KEPT = ServiceProfile((LevelProfile(3, 1, 40.0, 0.0),))
-HELD = Profile({"quiet": KEPT, "removed": KEPT})
+STORED_SERVICE = ServiceProfile((LevelProfile(3, 1, 40.0, 0.0),))
+STORED_PROFILE = Profile({"quiet": STORED_SERVICE, "removed": STORED_SERVICE})
 DECLARED = DeclaredConfiguration(1, (DeclaredService("quiet", "/h", 9),), ())
 
 
@@ -32,12 +32,12 @@
 
 
 class FakeRunners:
-    """One service with what is known of it at the node."""
+    """One service with the node's observations."""
 
     def __init__(self):
         self.slots = ConcurrencyModel()
 
-    def learn(self, answers):
+    def observe(self, answers):
         for _ in range(answers):
             for level, ratio in ((1, 1.0), (2, 1.0), (3, 1.7)):
                 self.slots.curves.note(level, 3, ratio, 0.0)
@@ -52,45 +52,45 @@
         self.slots.mark_published(profiles["busy"], 0.0)
 
 
-class ProfileKeeperTests(unittest.TestCase):
+class ProfileStoreTests(unittest.TestCase):
     def setUp(self):
         self.store = FakeStore()
         self.runners = FakeRunners()
         self.directory = Directory()
         self.directory.apply_snapshot(
-            Snapshot(Position(0, 1), DECLARED, profile=HELD), 0.0
+            Snapshot(Position(0, 1), DECLARED, profile=STORED_PROFILE), 0.0
         )
         self.now = 0.0
         self.profiles = ProfileStore(
             self.store, self.directory, self.runners, lambda: True, lambda: self.now
         )
 
-    def test_without_news_nothing_is_written(self):
+    def test_without_unpublished_observations_nothing_is_written(self):
         self.profiles.review()
         self.assertEqual(self.store.saved, [])
 
-    def test_news_are_written_beside_what_is_held_of_declared_services(self):
-        self.runners.learn(20)
+    def test_profiles_are_merged_with_stored_ones_of_declared_services(self):
+        self.runners.observe(20)
         self.profiles.review()
         (profile,) = self.store.saved
         self.assertEqual(sorted(profile.services), ["busy", "quiet"])
 
-    def test_news_are_written_once(self):
-        self.runners.learn(20)
+    def test_observations_are_written_once(self):
+        self.runners.observe(20)
         self.profiles.review()
         self.profiles.review()
         self.assertEqual(len(self.store.saved), 1)
 
-    def test_what_could_not_be_written_stays_news(self):
+    def test_observations_that_could_not_be_written_stay_unpublished(self):
         self.store.failure = StoreFailure("status 503")
-        self.runners.learn(20)
+        self.runners.observe(20)
         self.profiles.review()
         self.store.failure = None
         self.profiles.review()
         self.assertEqual(len(self.store.saved), 2)
 
     def test_writes_are_spaced(self):
-        self.runners.learn(20)
+        self.runners.observe(20)
         self.assertTrue(self.profiles.is_due())
         self.profiles.review()
         self.assertFalse(self.profiles.is_due())
@@ -98,15 +98,17 @@
         self.assertTrue(self.profiles.is_due())
 
 
-class SpreadingTests(unittest.TestCase):
+class PublishedProfileTests(unittest.TestCase):
     def test_a_snapshot_carries_the_profile(self):
-        snapshot = decode_snapshot(encode(Snapshot(Position(0, 1), profile=HELD)))
-        self.assertEqual(snapshot.profile, HELD)
+        snapshot = decode_snapshot(
+            encode(Snapshot(Position(0, 1), profile=STORED_PROFILE))
+        )
+        self.assertEqual(snapshot.profile, STORED_PROFILE)
 
-    def test_changes_replace_it_and_others_leave_it(self):
+    def test_only_changes_of_the_profile_replace_it(self):
         directory = Directory()
-        directory.apply_snapshot(Snapshot(Position(0, 1), profile=HELD), 0.0)
+        directory.apply_snapshot(Snapshot(Position(0, 1), profile=STORED_PROFILE), 0.0)
         directory.apply_changes(Changes(Position(0, 2)), 0.0)
-        self.assertEqual(directory.profile, HELD)
+        self.assertEqual(directory.profile, STORED_PROFILE)
         directory.apply_changes(Changes(Position(0, 3), profile=Profile()), 0.0)
         self.assertEqual(directory.profile, Profile())
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
@@ -34,20 +34,20 @@
         listener = listen("127.0.0.1:0", False)
         address = "127.0.0.1:%d" % listener.getsockname()[1]
         self.node = NodeRecord("relay", address, "a", 2.0)
-        self.source = ScriptedSource([self.with_nodes(snapshot)])
+        self.source = ScriptedSource([self.add_nodes(snapshot)])
         choice = RelayChoice(self.node, random.Random(1))
         self.follower = Follower(
             self.source, NoPeers(), lambda directory: None, choice, RelayClient()
         )
         self.follower._is_bootstrapped = True
-        self.news = []
+        self.reports = []
         application = PeerApplication(
-            self.follower.directory, self.follower.feed, self.news.append
+            self.follower.directory, self.follower.feed, self.reports.append
         )
         self.server = start_server(listener, application)
         self.follower._advance()
 
-    def with_nodes(self, snapshot):
+    def add_nodes(self, snapshot):
         nodes = {"relay": self.node, "own": NodeRecord("own", "10.0.0.9:1", "a")}
         return replace(snapshot, nodes=nodes)
 
@@ -65,7 +65,7 @@
         self.relay = Relay(build_snapshot(5, 1, ("i1", "i2")))
         self.addCleanup(self.relay.close)
         own = NodeRecord("own", "10.0.0.9:1", "a")
-        self.source = ScriptedSource([self.relay.with_nodes(build_snapshot(4))])
+        self.source = ScriptedSource([self.relay.add_nodes(build_snapshot(4))])
         self.published = []
         self.follower = Follower(
             self.source,
@@ -86,7 +86,7 @@
             while not condition():
                 eventlet.sleep(0.01)
 
-    def test_a_follower_learns_all_and_then_what_changes(self):
+    def test_a_follower_receives_the_snapshot_and_then_changes(self):
         self.start()
         self.assertEqual(self.follower.directory.position, Position(0, 5))
         gone = {"i1": None}
@@ -95,13 +95,13 @@
         self.assertEqual(list(self.follower.directory.endpoints), ["i2"])
         self.assertEqual(self.source.waited_from, [])
 
-    def test_a_relay_that_lost_the_store_is_left_at_once(self):
+    def test_a_relay_that_lost_the_store_is_abandoned_at_once(self):
         self.start()
         self.source.reads.append(build_snapshot(9, 4))
         self.relay.follower._check(FAILED)
         self.wait_for(lambda: self.published[-1] == 4, 1.9)
 
-    def test_a_relay_that_falls_silent_is_left_in_time(self):
+    def test_a_relay_that_stops_sending_is_abandoned_in_time(self):
         self.start()
         begun = time.monotonic()
         self.source.reads.append(build_snapshot(9, 4))
@@ -115,7 +115,7 @@
             self.relay.follower._check(Position(0, 5))
         self.assertEqual(self.follower.followed_relay, "relay")
 
-    def test_a_relay_that_is_behind_takes_nothing_back(self):
+    def test_a_relay_that_is_behind_reverts_nothing(self):
         ahead = build_snapshot(6, 2, ("i2", "i3"))
         nodes = {"relay": self.relay.node}
         self.follower.directory.apply_snapshot(replace(ahead, nodes=nodes), 0.0)
@@ -124,22 +124,22 @@
         self.addCleanup(thread.kill)
         self.wait_for(lambda: self.follower.followed_relay == "relay")
         self.assertEqual(sorted(self.follower.directory.endpoints), ["i2", "i3"])
-        # The store tells the relay of all that changed since 5, also of what the
-        # follower knows already.
+        # The store sends the relay all changes since revision 5, including those that
+        # the follower already has.
         later = build_snapshot(8, 5, ("i3",))
         changed = {"i1": None, "i2": None, **later.endpoints}
         self.relay.change(Changes(Position(0, 8), later.declared, changed))
         self.wait_for(lambda: self.follower.directory.declared.version == 5)
         self.assertEqual(sorted(self.follower.directory.endpoints), ["i3"])
 
-    def test_a_follower_learns_of_evacuations_and_their_ends(self):
+    def test_a_follower_receives_evacuations_and_their_ends(self):
         self.start()
         self.relay.change(Changes(Position(0, 7), evacuated={"b": 7}))
         self.wait_for(lambda: self.follower.directory.evacuated == {"b": 7})
         self.relay.change(Changes(Position(0, 9), evacuated={"b": None}))
         self.wait_for(lambda: self.follower.directory.evacuated == {})
 
-    def test_what_came_and_went_while_a_relay_was_behind_is_gone(self):
+    def test_records_removed_while_a_relay_was_behind_are_removed(self):
         ahead = replace(build_snapshot(6, 2, ("i2", "i3")), evacuated={"b": 6})
         nodes = {"relay": self.relay.node}
         self.follower.directory.apply_snapshot(replace(ahead, nodes=nodes), 0.0)
@@ -153,20 +153,20 @@
         self.assertEqual(self.follower.directory.evacuated, {})
         self.assertEqual(sorted(self.follower.directory.endpoints), ["i1", "i2"])
 
-    def test_what_a_relay_saw_of_an_outage_is_passed_on(self):
+    def test_the_age_of_an_outage_is_taken_from_the_relay(self):
         self.relay.follower.directory.record_return(time.monotonic() - 1.0)
         self.start()
         age = self.follower.directory.get_return_age(time.monotonic())
         self.assertAlmostEqual(age, 1.0, delta=0.5)
 
-    def test_a_stopping_relay_ends_its_streams_and_takes_no_more(self):
+    def test_a_stopping_relay_ends_its_streams_and_refuses_followers(self):
         self.start()
         self.source.reads.append(build_snapshot(9, 4))
         self.relay.follower.stop_relaying()
         self.wait_for(lambda: not self.relay.follower.feed.followers, 0.5)
         self.wait_for(lambda: self.published[-1] == 4, 1.9)
 
-    def test_a_follower_that_is_gone_is_forgotten(self):
+    def test_a_follower_that_disconnects_is_removed(self):
         self.start()
         for thread in list(self.relay.follower.feed._followers):
             self.assertIsNotNone(thread)
@@ -180,75 +180,75 @@
 
 
 class ReportTests(unittest.TestCase):
-    """What a follower reports, over real connections."""
+    """A follower's reports, over real connections."""
 
-    NEWS = Profile({"arena": ServiceProfile((LevelProfile(3, 1, 9.0, 0.1),))})
+    REPORT = Profile({"arena": ServiceProfile((LevelProfile(3, 1, 9.0, 0.1),))})
 
     def setUp(self):
         self.relay = Relay(build_snapshot(5))
         self.addCleanup(self.relay.close)
-        self.news = [self.NEWS]
+        self.reports = [self.REPORT]
 
     def report(self, relay):
         Reporter(lambda: relay, self).report()
 
     def take_unreported(self, only_urgent):
-        return self.news.pop()
+        return self.reports.pop()
 
-    def test_a_relay_takes_what_a_follower_has_learnt(self):
+    def test_a_relay_receives_reports(self):
         self.report(self.relay.node)
-        self.assertEqual(self.relay.news, [self.NEWS])
+        self.assertEqual(self.relay.reports, [self.REPORT])
 
-    def test_without_a_relay_nothing_is_given_away(self):
+    def test_without_a_relay_observations_stay_unreported(self):
         self.report(None)
-        self.assertEqual(self.news, [self.NEWS])
+        self.assertEqual(self.reports, [self.REPORT])
 
-    def test_a_relay_that_is_gone_ends_nothing(self):
+    def test_an_unreachable_relay_is_logged(self):
         with self.assertLogs("hingesill") as logs:
             self.report(NodeRecord("x", "127.0.0.1:1", "a"))
         self.assertIn("a relay did not take", logs.output[0])
 
-    def test_what_is_no_report_is_refused(self):
+    def test_an_invalid_report_is_refused(self):
         connection = EndpointConnection(self.relay.node.address)
         self.addCleanup(connection.close)
         with self.assertLogs("hingesill"):
             self.assertEqual(post(connection, b"no report"), 400)
-        self.assertEqual(self.relay.news, [])
+        self.assertEqual(self.relay.reports, [])
 
-    def test_one_that_is_too_large_is_refused(self):
+    def test_a_report_that_is_too_large_is_refused(self):
         connection = EndpointConnection(self.relay.node.address)
         self.addCleanup(connection.close)
         self.assertEqual(post(connection, b"x" * (MAX_REPORT_BYTES + 1)), 413)
 
 
 class RelayClientTests(unittest.TestCase):
-    def test_a_relay_that_takes_nobody(self):
+    def test_a_relay_that_refuses_followers(self):
         relay = Relay(build_snapshot(5))
         self.addCleanup(relay.close)
         relay.follower.feed.shut_down("the node stops")
         with self.assertRaises(RelayLost):
             list(RelayClient().follow(relay.node))
 
-    def test_nobody_listens(self):
+    def test_a_relay_that_does_not_listen(self):
         with self.assertRaises(RelayLost):
             list(RelayClient().follow(NodeRecord("x", "127.0.0.1:1", "a")))
 
 
 class FrameTests(unittest.TestCase):
-    def test_frames_may_come_in_any_pieces(self):
+    def test_frames_may_arrive_in_any_pieces(self):
         data = build_frame(FrameKind.HEARTBEAT, None) * 2
         reader = FrameReader()
         frames = [f for byte in data for f in reader.feed(bytes([byte]))]
         self.assertEqual([f.kind for f in frames], [FrameKind.HEARTBEAT] * 2)
         self.assertIsNone(frames[0].return_age)
 
-    def test_what_is_no_frame_is_an_error(self):
+    def test_invalid_bytes_are_an_error(self):
         with self.assertRaises(ValueError):
             list(FrameReader().feed(b"x" * 40))
 
 
 class StartTests(unittest.TestCase):
-    def test_a_store_that_does_not_answer_is_not_stormed(self):
+    def test_an_unavailable_store_is_called_rarely(self):
         class CountingSource(ScriptedSource):
             calls = 0
 
@@ -269,10 +269,10 @@
 
 
 class PauseTests(unittest.TestCase):
-    # A node is held to a change from 3 s after an outage on.
+    # A change must be in force at each node from 3 s after an outage on.
     BOUND_SECONDS = 2.5
 
-    def test_a_follower_finds_the_store_again_in_time(self):
+    def test_a_follower_calls_the_store_again_in_time(self):
         own = NodeRecord("own", "10.0.0.9:1", "a")
         follower = Follower(
             ScriptedSource(),
@@ -290,7 +290,7 @@
 
 
 class RefusingRelays:
-    """Relays that have lost the store and take nobody."""
+    """Relays that have lost the store and refuse followers."""
 
     def follow(self, relay):
         eventlet.sleep(0.005)
@@ -299,7 +299,7 @@
 
 
 class LostRelaysTests(unittest.TestCase):
-    """The store is back for all but the relays."""
+    """The store is available again for all nodes but the relays."""
 
     def setUp(self):
         self.nodes = {
@@ -330,7 +330,7 @@
             while version not in self.published:
                 eventlet.sleep(0.01)
 
-    def test_the_store_is_asked_though_relays_could_be(self):
+    def test_the_store_is_called_though_relays_can_be_tried(self):
         self.start()
         self.wait_for(1, 1.0)
         eventlet.sleep(4.0)
@@ -338,7 +338,7 @@
         self.source.reads.append(self.read(9, 4))
         self.wait_for(4, 2.5)
 
-    def test_relays_that_take_nobody_do_not_end_the_watch(self):
+    def test_relays_that_refuse_followers_do_not_end_the_watch(self):
         self.source.reads.append(self.read(9, 4))
         for revision in (11, 12):
             declared = build_snapshot(revision, revision).declared
