--- a/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
+++ b/packages/hingesill-node/hingesill_node/datapath/loadqueries.py
@@ -90,7 +90,7 @@
 
     def query_load(self, endpoints):
         """Query the load of endpoints for no request, within the query budget."""
-        count = self.binding.budget.take(len(endpoints), self.runner.clock())
+        count = self.binding.budget.acquire(len(endpoints), self.runner.clock())
         self._send_queries(LoadQuery(tuple(endpoints[:count])))
 
     def cancel(self, ticket):
