--- a/packages/hingesill-node/hingesill_node/control/__init__.py
+++ b/packages/hingesill-node/hingesill_node/control/__init__.py
@@ -1,6 +1,6 @@
-"""What the node does beside requests: configuration, membership, operators.
+"""Control side of the node: configuration, membership and calls of operators.
 
-All of it runs on one native thread with an asyncio loop of its own, which
-grpcio serves; calls to the store block, so they run on a few threads more.
-Nothing here touches the data path but through the `Bridge`.
+It runs on one native thread with an asyncio loop of its own, as grpcio needs. Calls to
+the store block, so they run on a few additional threads. This package accesses the data
+path only through the `Bridge`.
 """
--- a/packages/hingesill-node/hingesill_node/control/acceptance.py
+++ b/packages/hingesill-node/hingesill_node/control/acceptance.py
@@ -1,4 +1,4 @@
-"""An operator's change: checked, then appended to the change log."""
+"""Acceptance of changes by operators: validation, then an append to the change log."""
 
 import time
 
@@ -17,9 +17,9 @@
 
 __all__ = ["Acceptance", "build_results"]
 
-ACCEPT_SECONDS = 6.0
-MOST_CHANGES = 200
-LONGEST_NAME = 200
+ACCEPT_TIMEOUT_SECONDS = 6.0
+MAX_CHANGES_PER_CALL = 200
+MAX_NAME_LENGTH = 200
 
 OUTCOMES = {
     Rejection.CONFLICT: pb.CONFLICT,
@@ -32,18 +32,18 @@
 
 
 class Acceptance:
-    """Accepts changes at this node.
+    """Validates changes and appends them to the change log.
 
     Parameters
     ----------
     state : ControlState
-        Gets an accepted change at once.
+        State that an accepted change is applied to at once.
     changelog : ChangeLog
-        The log in the store.
+        Change log in the store.
     store_calls : StoreCalls
-        Runs the blocking calls.
+        Runs the blocking calls to the store.
     authoriser : object
-        Tells who may change what.
+        Decides which author may change which service.
     """
 
     def __init__(self, state, changelog, store_calls, authoriser):
@@ -53,54 +53,54 @@
         self.authoriser = authoriser
 
     async def apply(self, request, author):
-        """Return the ApplyReply to a request of a known author."""
+        """Return the ApplyReply to a request of an authenticated author."""
         findings = self._check(request, author)
         if findings:
-            return build_reply(pb.INVALID, findings)
+            return build_invalid_reply(pb.INVALID, findings)
         for change in request.changes:
             if not self.authoriser.may_change(author, change.service):
                 reason = f"{author} may not change {change.service}"
                 return pb.ApplyReply(outcome=pb.DENIED, reason=reason)
-        changes = select_real_changes(self.state.replica, request.changes)
+        changes = select_effective_changes(self.state.replica, request.changes)
         if request.dry_run or not changes:
             return self._preview(request, changes)
         return await self._append(request, author, changes)
 
     def _check(self, request, author):
-        """Return everything that is wrong with a request."""
+        """Return all findings about an invalid request."""
         findings = Findings()
-        if not 0 < len(request.operation_id) <= LONGEST_NAME:
-            findings.add("operation_id", f"1 to {LONGEST_NAME} characters")
-        if len(author) > LONGEST_NAME:
-            findings.add("author", f"at most {LONGEST_NAME} characters")
-        if not 0 < len(request.changes) <= MOST_CHANGES:
-            findings.add("changes", f"1 to {MOST_CHANGES} a call")
+        if not 0 < len(request.operation_id) <= MAX_NAME_LENGTH:
+            findings.add("operation_id", f"1 to {MAX_NAME_LENGTH} characters")
+        if len(author) > MAX_NAME_LENGTH:
+            findings.add("author", f"at most {MAX_NAME_LENGTH} characters")
+        if not 0 < len(request.changes) <= MAX_CHANGES_PER_CALL:
+            findings.add("changes", f"1 to {MAX_CHANGES_PER_CALL} changes per call")
         names = [change.service for change in request.changes]
         for index, change in enumerate(request.changes):
-            place = f"changes.{index}."
+            prefix = f"changes.{index}."
             if names.index(change.service) != index:
-                findings.add(f"{place}service", "stands twice in one call")
+                findings.add(f"{prefix}service", "duplicate service in one call")
             if change.document:
-                self._check_document(change, place, findings)
+                self._check_document(change, prefix, findings)
         return findings
 
-    def _check_document(self, change, place, findings):
-        declaration = parse_declaration(change.document, findings, place)
+    def _check_document(self, change, prefix, findings):
+        declaration = parse_declaration(change.document, findings, prefix)
         if declaration is not None and declaration.service != change.service:
-            findings.add(f"{place}service", "differs from the declaration's name")
+            findings.add(f"{prefix}service", "differs from the name in the declaration")
 
     def _preview(self, request, changes):
-        """Return what a request would change."""
+        """Return the ApplyReply of a dry run or of a request that changes nothing."""
         outcome = pb.ACCEPTED if changes else pb.UNCHANGED
         reply = pb.ApplyReply(outcome=outcome, revision=self.state.replica.revision)
         reply.results.extend(build_results(self.state.replica, request.changes))
         return reply
 
     async def _append(self, request, author, changes):
-        deadline = time.monotonic() + ACCEPT_SECONDS
+        deadline = time.monotonic() + ACCEPT_TIMEOUT_SECONDS
         results = build_results(self.state.replica, request.changes)
         copy = copy_replica(self.state.replica)
-        wanted = ChangeRequest(
+        change_request = ChangeRequest(
             request.operation_id,
             author,
             tuple(
@@ -109,82 +109,86 @@
             tuple(change.expected_version for change in changes),
             find_route_conflicts,
         )
-        verdict = await self.store_calls.run(
-            self.changelog.append, copy, wanted, lambda: time.monotonic() < deadline
+        append_result = await self.store_calls.run(
+            self.changelog.append,
+            copy,
+            change_request,
+            lambda: time.monotonic() < deadline,
         )
-        self._take(copy)
-        return self._answer(request, author, verdict, results)
+        self._adopt(copy)
+        return self._build_append_reply(request, author, append_result, results)
 
-    def _take(self, copy):
-        """Put what the call read or wrote in force at this node."""
+    def _adopt(self, copy):
+        """Apply the entries that the call read or wrote to the state of this node."""
         since = self.state.replica.revision
         if copy.revision > since:
             self.state.adopt(copy.build_difference(since), "own write")
 
-    def _answer(self, request, author, verdict, results):
+    def _build_append_reply(self, request, author, append_result, results):
         replica = self.state.replica
-        if isinstance(verdict, Accepted):
+        if isinstance(append_result, Accepted):
             log_event(
                 Event.CHANGE_ACCEPTED,
                 operation=request.operation_id,
                 author=author,
-                revision=verdict.revision,
+                revision=append_result.revision,
             )
-            reply = pb.ApplyReply(outcome=pb.ACCEPTED, revision=verdict.revision)
+            reply = pb.ApplyReply(outcome=pb.ACCEPTED, revision=append_result.revision)
             reply.results.extend(results)
-            reply.reason = "accepted before" if verdict.repeated else ""
+            reply.reason = "already accepted" if append_result.repeated else ""
         else:
             log_event(
                 Event.CHANGE_REJECTED,
                 operation=request.operation_id,
                 author=author,
-                reason=verdict.reason.value,
-                detail=verdict.detail,
+                reason=append_result.reason.value,
+                detail=append_result.detail,
             )
-            reason = f"{verdict.reason.value}: {verdict.detail}"
-            reply = pb.ApplyReply(outcome=OUTCOMES[verdict.reason], reason=reason)
+            reason = f"{append_result.reason.value}: {append_result.detail}"
+            reply = pb.ApplyReply(outcome=OUTCOMES[append_result.reason], reason=reason)
             reply.revision = replica.revision
             reply.findings.extend(
-                pb.Finding(place=f.place, message=f.message) for f in verdict.findings
+                pb.Finding(place=f.place, message=f.message)
+                for f in append_result.findings
             )
             reply.results.extend(build_results(replica, request.changes))
         return reply
 
 
-def build_reply(outcome, findings):
-    """Return a reply that holds findings."""
-    reply = pb.ApplyReply(outcome=outcome, reason="the request is not valid")
+def build_invalid_reply(outcome, findings):
+    """Return a reply that lists findings."""
+    reply = pb.ApplyReply(outcome=outcome, reason="invalid request")
     for finding in findings:
         reply.findings.add(place=finding.place, message=finding.message)
     return reply
 
 
-def select_real_changes(replica, changes):
-    """Return the changes that differ from what is held."""
+def select_effective_changes(replica, changes):
+    """Return the changes that differ from the current services."""
     return [change for change in changes if describe_change(replica, change)]
 
 
 def describe_change(replica, change):
-    """Return in a word what a change does; empty if it does nothing."""
-    held = replica.services.get(change.service)
+    """Return "create", "remove" or "change", or "" if a change has no effect."""
+    current = replica.services.get(change.service)
     document = change.document.decode() or None
-    if held is None or held.document is None:
+    if current is None or current.document is None:
         return "create" if document is not None else ""
     if document is None:
         return "remove"
-    return "" if document == held.document else "change"
+    return "" if document == current.document else "change"
 
 
 def build_results(replica, changes):
-    """Return one result a change, with the version that is held."""
+    """Return one append_result per change, with the current version of its service."""
     results = []
     for change in changes:
-        held = replica.services.get(change.service)
+        current = replica.services.get(change.service)
         results.append(
             pb.ChangeResult(
                 service=change.service,
-                current_version=held.version if held else 0,
-                changed_by=held.author if held else "",
+                current_version=current.version if current else 0,
+                changed_by=current.author if current else "",
                 summary=describe_change(replica, change) or "as declared",
             )
         )
--- a/packages/hingesill-node/hingesill_node/control/announcer.py
+++ b/packages/hingesill-node/hingesill_node/control/announcer.py
@@ -1,4 +1,4 @@
-"""Telling drain signs to other nodes without the store."""
+"""Announcement of drain notices to other nodes without the store."""
 
 import asyncio
 import random
@@ -12,28 +12,29 @@
 
 __all__ = ["Announcer"]
 
-PEER_SECONDS = 2.0
-MOST_TOLD_DIRECTLY = 32
-EVEN_OUT_SECONDS = 2.0
-RELAYS_EVENED_OUT = 3
+PEER_TIMEOUT_SECONDS = 2.0
+MAX_DIRECT_RECIPIENTS = 32
+EXCHANGE_INTERVAL_SECONDS = 2.0
+RELAYS_PER_EXCHANGE = 3
 
 
 class Announcer:
-    """Tells drain signs at once, and evens them out between relays now and then.
+    """Sends drain notices to other nodes, and exchanges them between relays.
 
     Parameters
     ----------
     state : ControlState
-        Its membership says whom to tell.
+        Its membership lists the recipients.
     channels : Channels
-        To other nodes.
+        Channels to other nodes.
 
     Notes
     -----
-    A small fleet is told as a whole, a large one by its relays, whose subscribers
-    get the signs with updates. The list of VMs may lack a node that just started;
-    a relay that follows nobody would then miss a sign. So each relay exchanges all
-    signs with a few others every two seconds, in both directions.
+    In a small fleet, notices are sent to every node; in a large one only to the relays,
+    whose subscribers get them with updates. The list of VMs may lack a node that has
+    just started, and a relay without a parent would then miss a notice. Each relay
+    therefore exchanges all notices with a few others every two seconds, in both
+    directions.
     """
 
     def __init__(self, state, channels, rng=None):
@@ -42,35 +43,41 @@
         self.rng = rng or random.Random()
 
     async def run(self):
-        """Even signs out with other relays until cancelled."""
+        """Exchange notices with other relays periodically until cancelled."""
         while True:
-            await asyncio.sleep(EVEN_OUT_SECONDS * (0.75 + self.rng.random() / 2))
+            await asyncio.sleep(
+                EXCHANGE_INTERVAL_SECONDS * (0.75 + self.rng.random() / 2)
+            )
             if self.state.is_relay:
                 relays = self._list_others(list_relays)
-                some = self.rng.sample(relays, min(RELAYS_EVENED_OUT, len(relays)))
-                await self._tell_all(some, self.state.signs.list_all())
+                partners = self.rng.sample(
+                    relays, min(RELAYS_PER_EXCHANGE, len(relays))
+                )
+                await self._send_to_all(partners, self.state.drain_notices.list_all())
 
-    async def tell(self, signs):
-        """Tell signs at once; return how many nodes took them."""
+    async def announce(self, notices):
+        """Send notices to other nodes; return how many received them."""
         nodes = self._list_others(list)
-        if len(nodes) > MOST_TOLD_DIRECTLY:
+        if len(nodes) > MAX_DIRECT_RECIPIENTS:
             nodes = self._list_others(list_relays)
-        return await self._tell_all(nodes, signs)
+        return await self._send_to_all(nodes, notices)
 
     def _list_others(self, select):
-        """Return those of the usable VMs that a function selects, without this."""
+        """Return the usable VMs that a function selects, without this node."""
         usable = self.state.membership.list_usable(self.state.clock())
         return [vm for vm in select(usable) if vm.name != self.state.own.name]
 
-    async def _tell_all(self, vms, signs):
-        request = pb.TellRequest(signs=encode_drain_notices(signs, self.state.clock()))
-        answers = await asyncio.gather(*(self._tell(vm, request) for vm in vms))
-        return sum(answers)
+    async def _send_to_all(self, vms, notices):
+        request = pb.TellRequest(
+            signs=encode_drain_notices(notices, self.state.clock())
+        )
+        received = await asyncio.gather(*(self._send(vm, request) for vm in vms))
+        return sum(received)
 
-    async def _tell(self, vm, request):
+    async def _send(self, vm, request):
         stub = PeersStub(self.channels.get(vm.control))
         try:
-            reply = await stub.Tell(request, timeout=PEER_SECONDS)
+            reply = await stub.Tell(request, timeout=PEER_TIMEOUT_SECONDS)
         except grpc.aio.AioRpcError:
             self.state.membership.mark_unreachable(vm.name, self.state.clock())
             return False
--- a/packages/hingesill-node/hingesill_node/control/authorisation.py
+++ b/packages/hingesill-node/hingesill_node/control/authorisation.py
@@ -1,4 +1,4 @@
-"""Who may change which service: a seam with a registry of ways to tell."""
+"""Authorisation of changes to services, with a registry of authorisers."""
 
 import hmac
 import json
@@ -14,34 +14,34 @@
 
 @AUTHORISERS.register("open")
 class OpenAuthoriser:
-    """Everybody may change everything; for a network that is closed by itself."""
+    """Allows every change by any author; for a network with restricted access."""
 
     def __init__(self, path):
-        """Ignore the path."""
+        """Ignore the path, which this authoriser does not need."""
 
     def find_author(self, token, claimed):
-        """Return the author's name as claimed."""
+        """Return the claimed name of the author."""
         return claimed or "anonymous"
 
     def may_change(self, author, service):
-        """Return True."""
+        """Return whether an author may change a service: always."""
         return True
 
 
 @AUTHORISERS.register("tokens")
 class TokenAuthoriser:
-    """Authors with tokens, each with the services that they may change.
+    """Identifies authors by token; each may change a list of services.
 
     Parameters
     ----------
     path : str
-        A JSON file ``{"author": {"token": "...", "services": ["arena"]}}``;
+        Path of a JSON file ``{"author": {"token": "...", "services": ["arena"]}}``;
         ``*`` stands for all services.
 
     Raises
     ------
     ValueError
-        If the file is not of this form.
+        If the file does not have this form.
     """
 
     def __init__(self, path):
@@ -50,16 +50,16 @@
             self._tokens = {n: item["token"] for n, item in self._authors.items()}
             self._services = {n: item["services"] for n, item in self._authors.items()}
         except (OSError, LookupError, TypeError, AttributeError) as error:
-            raise ValueError(f"{path} holds no authors: {error}") from error
+            raise ValueError(f"no valid authors in {path}: {error}") from error
 
     def find_author(self, token, claimed):
-        """Return the author whose token it is, or None."""
+        """Return the author with this token, or None."""
         for author, known in self._tokens.items():
             if hmac.compare_digest(known.encode(), token.encode()):
                 return author
         return None
 
     def may_change(self, author, service):
-        """Tell whether an author may change a service."""
+        """Return whether an author may change a service."""
         services = self._services.get(author, ())
         return ALL_SERVICES in services or service in services
--- a/packages/hingesill-node/hingesill_node/control/backoff.py
+++ b/packages/hingesill-node/hingesill_node/control/backoff.py
@@ -1,4 +1,4 @@
-"""Growing pauses before a call is made again."""
+"""Exponential back-off before a call is repeated."""
 
 import random
 
@@ -6,28 +6,28 @@
 
 
 class Backoff:
-    """Growing pauses with jitter, so that a returning store is not stormed.
+    """Exponential back-off with jitter, to avoid a burst of calls to a returning store.
 
     Parameters
     ----------
-    first, longest : float
-        Seconds.
+    initial, maximum : float
+        First and longest pause in seconds, before the jitter.
     rng : random.Random
         Source of the jitter.
     """
 
-    def __init__(self, first=0.5, longest=4.0, rng=None):
-        self._first = first
-        self._longest = longest
+    def __init__(self, initial=0.5, maximum=4.0, rng=None):
+        self._initial = initial
+        self._maximum = maximum
         self._rng = rng or random.Random()
-        self._next = first
+        self._next = initial
 
     def get_pause(self):
         """Return the next pause in seconds."""
         pause = self._next * (0.5 + self._rng.random())
-        self._next = min(self._longest, self._next * 2)
+        self._next = min(self._maximum, self._next * 2)
         return pause
 
     def reset(self):
-        """Begin again with the shortest pause."""
-        self._next = self._first
+        """Start again with the initial pause."""
+        self._next = self._initial
--- a/packages/hingesill-node/hingesill_node/control/channels.py
+++ b/packages/hingesill-node/hingesill_node/control/channels.py
@@ -1,4 +1,4 @@
-"""Channels to other nodes and the credentials of both sides."""
+"""gRPC channels to other nodes, and the TLS credentials of server and client."""
 
 from pathlib import Path
 
@@ -17,28 +17,33 @@
 
 
 def read_file(path):
-    """Return a file's bytes."""
+    """Return the content of a file as bytes."""
     return Path(path).read_bytes()
 
 
 def build_server_credentials(settings):
-    """Return the server's credentials, or None without TLS.
+    """Return the server credentials, or None without TLS.
 
     Parameters
     ----------
     settings : Settings
-        Names the files; with a CA, other nodes and operators must show a
-        certificate of it.
+        Settings that name the files. With a CA, other nodes and operators must
+        present a certificate signed by it.
     """
     if not settings.tls_certificate:
         return None
-    pair = (read_file(settings.tls_key), read_file(settings.tls_certificate))
+    key_and_certificate = (
+        read_file(settings.tls_key),
+        read_file(settings.tls_certificate),
+    )
     ca = read_file(settings.tls_ca) if settings.tls_ca else None
-    return grpc.ssl_server_credentials([pair], ca, require_client_auth=bool(ca))
+    return grpc.ssl_server_credentials(
+        [key_and_certificate], ca, require_client_auth=bool(ca)
+    )
 
 
 def build_channel_credentials(settings):
-    """Return the credentials towards other nodes, or None without TLS."""
+    """Return the credentials for channels to other nodes, or None without TLS."""
     if not settings.tls_certificate:
         return None
     return grpc.ssl_channel_credentials(
@@ -49,7 +54,7 @@
 
 
 class Channels:
-    """One channel an address, opened on first use.
+    """One channel per address, opened on first use.
 
     Parameters
     ----------
--- a/packages/hingesill-node/hingesill_node/control/messages.py
+++ b/packages/hingesill-node/hingesill_node/control/messages.py
@@ -1,4 +1,4 @@
-"""Turning the schema's messages into the core's data and back."""
+"""Conversion between protobuf messages and the types of the core."""
 
 from hingesill_api.generated import hingesill_pb2 as pb
 from hingesill_core.membership.drainnotices import DrainNotice
@@ -6,20 +6,20 @@
 __all__ = ["build_node_status", "decode_drain_notices", "encode_drain_notices"]
 
 
-def encode_drain_notices(signs, now):
-    """Return the schema's messages for signs."""
+def encode_drain_notices(notices, now):
+    """Return drain notices as protobuf messages."""
     return [
         pb.Sign(
-            endpoint=sign.endpoint,
-            remaining_ms=max(0, int((sign.until - now) * 1000)),
-            sequence=sign.sequence,
+            endpoint=notice.endpoint,
+            remaining_ms=max(0, int((notice.until - now) * 1000)),
+            sequence=notice.sequence,
         )
-        for sign in signs
+        for notice in notices
     ]
 
 
 def decode_drain_notices(messages, now):
-    """Yield the signs that messages hold."""
+    """Yield the drain notices of protobuf messages."""
     for message in messages:
         yield DrainNotice(
             message.endpoint, message.sequence, now + message.remaining_ms / 1000
@@ -27,7 +27,7 @@
 
 
 def build_node_status(state, is_ready, counters):
-    """Return this node's status as the schema's message."""
+    """Return the status of this node as a protobuf message."""
     return pb.NodeStatus(
         node=state.own.name,
         data_centre=state.own.data_centre,
--- a/packages/hingesill-node/hingesill_node/control/node.py
+++ b/packages/hingesill-node/hingesill_node/control/node.py
@@ -1,4 +1,4 @@
-"""The control of a node that follows hingesill's own change log."""
+"""The control of a node that follows the change log of hingesill itself."""
 
 import sys
 
@@ -18,20 +18,20 @@
 
 __all__ = ["LogControl"]
 
-SILENT_SECONDS = 2.0
+MAX_PEER_SILENCE_SECONDS = 2.0
 
 
 class LogControl:
-    """The control thread and what leads from it to the hub; see `node.Control`.
+    """The control thread and its connection to the hub; see `node.Control`.
 
     Parameters
     ----------
     settings : Settings
-        Validated.
+        Validated settings.
     blackboard : Blackboard
         Written through the bridge.
     counters : Counters
-        Of the node.
+        Counters of the node.
     """
 
     def __init__(self, settings, blackboard, counters, clock=read_boot_time):
@@ -54,7 +54,7 @@
 
     @property
     def address(self):
-        """Where operators and other nodes connect."""
+        """Address that operators and other nodes connect to."""
         return self.thread.address
 
     def _announce_drain(self, endpoint):
@@ -83,7 +83,7 @@
 
     def is_initialized(self):
         """See `node.Control`."""
-        return self.thread.state.settled
+        return self.thread.state.initialized
 
     def is_connected(self):
         """See `node.Control`."""
@@ -92,22 +92,22 @@
         if state.is_store_available or not others:
             return True
         last = state.last_peer_at
-        return last is not None and self.clock() - last < SILENT_SECONDS
+        return last is not None and self.clock() - last < MAX_PEER_SILENCE_SECONDS
 
     def get_confirmed_age(self):
         """See `node.Control`."""
         return self.thread.state.get_confirmed_age_ms() / 1000
 
     def count_invalid(self):
-        """See `node.Control`; what is written here was checked before."""
+        """See `node.Control`; documents are validated before they are written."""
         return 0
 
     def apply(self, settings):
-        """See `node.Control`; flags and variables do not change while it runs."""
+        """See `node.Control`; flags and variables cannot change at run time."""
         return []
 
     def leave(self):
-        """Other nodes see it in the list of VMs and in this node's silence."""
+        """Do nothing: others see it by the list of VMs and by missing messages."""
 
     def stop(self):
         """See `node.Control`."""
--- a/packages/hingesill-node/hingesill_node/control/operators.py
+++ b/packages/hingesill-node/hingesill_node/control/operators.py
@@ -1,4 +1,4 @@
-"""The operators' calls."""
+"""The gRPC service for operators."""
 
 import asyncio
 import time
@@ -12,33 +12,33 @@
 
 __all__ = ["Operators"]
 
-PEER_SECONDS = 2.0
-MOST_NODES_ASKED = 500
-ASKED_AT_ONCE = 32
+PEER_TIMEOUT_SECONDS = 2.0
+MAX_QUERIED_NODES = 500
+MAX_CONCURRENT_QUERIES = 32
 OPERATOR_DRAIN_SECONDS = 600.0
-EXPLAIN_SECONDS = 1.0
+EXPLAIN_TIMEOUT_SECONDS = 1.0
 
 
 class Operators(OperatorsServicer):
-    """Serves operators at this node.
+    """Serves the calls of operators.
 
     Parameters
     ----------
     state : ControlState
-        The node's replica, membership and signs.
+        Replica, membership and drain notices of the node.
     acceptance : Acceptance
-        Accepts changes.
+        Validates and appends changes.
     announcer : Announcer
-        Tells drain signs to other nodes.
+        Sends drain notices to other nodes.
     authoriser : object
-        Tells who may change what.
+        Decides which author may change which service.
     channels : Channels
-        To other nodes.
+        Channels to other nodes.
     is_ready : callable
-        Tells whether the node is ready.
+        Returns whether the node is ready.
     explain : callable
-        Given a method, a path and a function for the reply, has the hub explain
-        a route.
+        Takes a method, a path and a callback for the reply, and asks the hub to
+        explain the route.
     """
 
     def __init__(
@@ -53,54 +53,54 @@
         self.explain = explain
 
     def _find_author(self, context, claimed=""):
-        """Return the author of a call, or None if it shows no valid token."""
+        """Return the author of a call, or None if it has no valid token."""
         metadata = dict(context.invocation_metadata() or ())
         token = metadata.get("authorization", "").removeprefix("Bearer ")
         return self.authoriser.find_author(token, claimed)
 
     async def Apply(self, request, context):
-        """Accept a change, or say why not."""
+        """Accept a change, or return the reason of its rejection."""
         author = self._find_author(context, request.author)
         if author is None:
             return pb.ApplyReply(outcome=pb.DENIED, reason="no valid token")
         if self.state.interests:
-            reason = "this node holds only some services; ask an entry node"
+            reason = "this node holds only some services; use an entry node"
             return pb.ApplyReply(outcome=pb.UNAVAILABLE, reason=reason)
         return await self.acceptance.apply(request, author)
 
     async def Get(self, request, context):
-        """Return declarations as they are in force here."""
+        """Return the declarations in force at this node."""
         replica = self.state.replica
         reply = pb.GetReply(revision=replica.revision)
         for name in sorted(request.services or replica.services):
-            held = replica.services.get(name)
-            if held is None:
+            current = replica.services.get(name)
+            if current is None:
                 continue
-            document = (held.document or "").encode()
+            document = (current.document or "").encode()
             reply.documents.add(
                 service=name,
-                version=held.version,
+                version=current.version,
                 document=document,
-                author=held.author,
+                author=current.author,
             )
         return reply
 
     async def GetOperation(self, request, context):
-        """Say what became of an operation."""
+        """Return the outcome of an operation."""
         revision = self.state.replica.find_operation(request.operation_id)
         if revision is None and self.state.is_store_available:
             return pb.ApplyReply(
                 outcome=pb.UNCHANGED,
                 revision=self.state.replica.revision,
-                reason="not among the operations that this node knows of",
+                reason="this node knows no such operation",
             )
         if revision is None:
-            reason = "not known here, and the store does not answer"
+            reason = "unknown to this node, and the store does not answer"
             return pb.ApplyReply(outcome=pb.UNKNOWN, reason=reason)
         return pb.ApplyReply(outcome=pb.ACCEPTED, revision=revision)
 
     async def Status(self, request, context):
-        """Return this node's status, and the others' if asked for."""
+        """Return the status of this node and, if requested, of the other nodes."""
         own = build_node_status(self.state, self.is_ready(), self.state.counters)
         reply = pb.StatusReply()
         reply.self.CopyFrom(own)
@@ -110,19 +110,23 @@
                 for vm in self.state.membership.list_all()
                 if vm.name != self.state.own.name
             ]
-            limit = asyncio.Semaphore(ASKED_AT_ONCE)
-            asked = others[:MOST_NODES_ASKED]
-            answers = await asyncio.gather(*(self._ask(vm, limit) for vm in asked))
+            limit = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
+            queried = others[:MAX_QUERIED_NODES]
+            answers = await asyncio.gather(
+                *(self._query_status(vm, limit) for vm in queried)
+            )
             reply.nodes.append(own)
             reply.nodes.extend(answers)
         return reply
 
-    async def _ask(self, vm, limit):
-        """Return another node's status, or why there is none."""
+    async def _query_status(self, vm, limit):
+        """Return the status of another node, or the error of the call."""
         stub = PeersStub(self.channels.get(vm.control))
         async with limit:
             try:
-                return await stub.Inspect(pb.StatusRequest(), timeout=PEER_SECONDS)
+                return await stub.Inspect(
+                    pb.StatusRequest(), timeout=PEER_TIMEOUT_SECONDS
+                )
             except grpc.aio.AioRpcError as error:
                 return pb.NodeStatus(
                     node=vm.name,
@@ -131,26 +135,26 @@
                 )
 
     async def Drain(self, request, context):
-        """Have all nodes give an endpoint no new work, store or no store."""
+        """Stop new requests to an endpoint at all nodes, even without the store."""
         author = self._find_author(context)
         if author is None or not self.authoriser.may_change(author, request.service):
             return pb.DrainReply(reason="not allowed")
         if not self._has_endpoint(request.service, request.endpoint):
             reason = f"{request.service} has no endpoint {request.endpoint}"
             return pb.DrainReply(reason=reason)
-        hold = 0.0 if request.cancel else OPERATOR_DRAIN_SECONDS
-        sign = DrainNotice(
-            request.endpoint, int(time.time() * 1000), self.state.clock() + hold
+        duration = 0.0 if request.cancel else OPERATOR_DRAIN_SECONDS
+        notice = DrainNotice(
+            request.endpoint, int(time.time() * 1000), self.state.clock() + duration
         )
-        self.state.apply_drain_notices([sign])
-        return pb.DrainReply(nodes_told=await self.announcer.tell([sign]))
+        self.state.apply_drain_notices([notice])
+        return pb.DrainReply(nodes_told=await self.announcer.announce([notice]))
 
     def _has_endpoint(self, service, endpoint):
-        held = self.state.replica.services.get(service)
-        return held is not None and f'"{endpoint}"' in (held.document or "")
+        current = self.state.replica.services.get(service)
+        return current is not None and f'"{endpoint}"' in (current.document or "")
 
     async def Explain(self, request, context):
-        """Say how this node would route a request now, and why."""
+        """Explain how this node would route a request now."""
         loop = asyncio.get_running_loop()
         future = loop.create_future()
 
@@ -158,10 +162,10 @@
             loop.call_soon_threadsafe(set_result, future, reply)
 
         self.explain(request.method, request.path, resolve)
-        return await asyncio.wait_for(future, EXPLAIN_SECONDS)
+        return await asyncio.wait_for(future, EXPLAIN_TIMEOUT_SECONDS)
 
 
 def set_result(future, value):
-    """Resolve a future that may have been given up on."""
+    """Set the result of a future unless it is already done, as after a timeout."""
     if not future.done():
         future.set_result(value)
--- a/packages/hingesill-node/hingesill_node/control/peers.py
+++ b/packages/hingesill-node/hingesill_node/control/peers.py
@@ -1,4 +1,4 @@
-"""The calls that other nodes make on this one."""
+"""The gRPC service for other nodes."""
 
 import grpc
 
@@ -10,20 +10,20 @@
     decode_drain_notices,
     encode_drain_notices,
 )
-from hingesill_node.control.spreader import HEARTBEAT_SECONDS
+from hingesill_node.control.replicator import HEARTBEAT_SECONDS
 
 __all__ = ["Peers"]
 
 
 class Peers(PeersServicer):
-    """Serves subscriptions, drain signs and status to other nodes.
+    """Serves subscriptions, drain notices and the status to other nodes.
 
     Parameters
     ----------
     state : ControlState
-        Read, and written by drain signs.
+        State of the control thread; received drain notices are applied to it.
     is_ready : callable
-        Tells whether the node is ready.
+        Returns whether the node is ready.
     """
 
     def __init__(self, state, is_ready):
@@ -33,64 +33,67 @@
         self._encoded = b""
 
     async def Subscribe(self, request, context):
-        """Send each change as the difference from what the subscriber has."""
+        """Send each change as a difference from the subscriber's revision."""
         state = self.state
         if state.interests and not state.is_relay:
             reason = "this node holds only some services"
             await context.abort(grpc.StatusCode.FAILED_PRECONDITION, reason)
         state.membership.mark_reachable(request.node)
-        held = request.revision
+        known_revision = request.revision
         names = frozenset(request.services)
-        signs_sent = -1
+        sent_generation = -1
         while True:
-            update = self._build_update(held, names, signs_sent)
-            held = max(held, update.revision)
-            signs_sent = state.signs.generation
+            update = self._build_update(known_revision, names, sent_generation)
+            known_revision = max(known_revision, update.revision)
+            sent_generation = state.drain_notices.generation
             state.counters.add("peer_bytes", "sent", amount=update.ByteSize())
             yield update
-            await self._wait_news(held, signs_sent)
+            await self._wait_for_update(known_revision, sent_generation)
 
-    async def _wait_news(self, held, signs_sent):
-        """Wait for a change or for the next heartbeat."""
+    async def _wait_for_update(self, known_revision, sent_generation):
+        """Wait for a change, or until the next heartbeat is due."""
         state = self.state
-        if state.replica.revision > held or state.signs.generation != signs_sent:
+        if (
+            state.replica.revision > known_revision
+            or state.drain_notices.generation != sent_generation
+        ):
             return
-        await state.wait_change(HEARTBEAT_SECONDS)
+        await state.wait_for_change(HEARTBEAT_SECONDS)
 
-    def _build_update(self, held, names, signs_sent):
+    def _build_update(self, known_revision, names, sent_generation):
         state = self.state
         replica = state.replica
         update = pb.Update(
-            since=held,
+            since=known_revision,
             revision=replica.revision,
             chain=replica.chain,
             confirmed_age_ms=state.get_confirmed_age_ms(),
         )
-        if replica.revision > held:
-            update.difference = self._encode_since(held, names)
-        if signs_sent != state.signs.generation:
-            signs = state.signs.list_all()
-            update.signs.extend(encode_drain_notices(signs, state.clock()))
+        if replica.revision > known_revision:
+            update.difference = self._encode_since(known_revision, names)
+        if sent_generation != state.drain_notices.generation:
+            notices = state.drain_notices.list_all()
+            update.signs.extend(encode_drain_notices(notices, state.clock()))
         return update
 
-    def _encode_since(self, held, names):
-        """Return the difference since a revision, encoded once for all children."""
+    def _encode_since(self, known_revision, names):
+        """Return the encoded difference since a revision, cached for other children."""
         replica = self.state.replica
-        key = (held, replica.revision, names)
+        key = (known_revision, replica.revision, names)
         if key != self._encoded_key:
-            difference = replica.build_difference(held, names)
+            difference = replica.build_difference(known_revision, names)
             self._encoded = encode_difference(difference)
             self._encoded_key = key
         return self._encoded
 
     async def Tell(self, request, context):
-        """Take drain signs from any node; subscribers get them at once."""
+        """Apply drain notices of another node; return all that are known here."""
         now = self.state.clock()
         self.state.apply_drain_notices(decode_drain_notices(request.signs, now))
         return pb.TellReply(
-            signs=encode_drain_notices(self.state.signs.list_all(), now)
+            signs=encode_drain_notices(self.state.drain_notices.list_all(), now)
         )
 
     async def Inspect(self, request, context):
-        """Return this node's status."""
+        """Return the status of this node."""
         return build_node_status(self.state, self.is_ready(), self.state.counters)
--- a/packages/hingesill-node/hingesill_node/control/probeshares.py
+++ b/packages/hingesill-node/hingesill_node/control/probeshares.py
@@ -1,4 +1,4 @@
-"""Holding a share of the probe budget by a lease in the store."""
+"""Acquisition and renewal of a share of the probe budget, a lease in the store."""
 
 import asyncio
 import random
@@ -15,26 +15,26 @@
 
 __all__ = ["ProbeShares"]
 
-CANDIDATES = 2
-RENEW_SECONDS = PROBE_SHARE_TTL_SECONDS / 3
-TRY_SECONDS = 5.0
+CANDIDATES_PER_SHARE = 2
+RENEW_INTERVAL_SECONDS = PROBE_SHARE_TTL_SECONDS / 3
+ACQUIRE_INTERVAL_SECONDS = 5.0
 
 
 class ProbeShares:
-    """Tries to get one share and to keep it.
+    """Acquires one share and renews its lease.
 
     Parameters
     ----------
     state : ControlState
-        Its membership says which shares this node may try for.
+        Its membership determines which shares this node is a candidate for.
     store : Store
-        Holds the leases.
+        Store of the leases.
     store_calls : StoreCalls
-        Runs the blocking calls.
+        Runs the blocking calls to the store.
     team : str
         First part of the keys.
     publish : callable
-        Called with the Share, or None.
+        Called with the ProbeShare, or with None once it is lost.
     """
 
     def __init__(self, state, store, store_calls, team, publish):
@@ -47,29 +47,33 @@
         self.rng = random.Random()
 
     async def run(self):
-        """Work until cancelled."""
+        """Acquire a share and renew it, until cancelled."""
         while True:
             if self.share is None:
-                await self._try_shares()
-                await asyncio.sleep(TRY_SECONDS * (0.5 + self.rng.random()))
+                await self._try_to_acquire()
+                await asyncio.sleep(
+                    ACQUIRE_INTERVAL_SECONDS * (0.5 + self.rng.random())
+                )
             else:
-                await asyncio.sleep(RENEW_SECONDS)
+                await asyncio.sleep(RENEW_INTERVAL_SECONDS)
                 await self._renew()
 
-    async def _try_shares(self):
-        """Ask for each share that this node is a candidate for."""
+    async def _try_to_acquire(self):
+        """Try to acquire one of the shares that this node is a candidate for."""
         if not self.state.is_store_available:
             return
         usable = self.state.membership.list_usable(self.state.clock())
         for number in range(PROBE_SHARES):
             ranked = rank_by_weight(usable, f"probe-share-{number}")
-            if self.state.own.name not in [vm.name for vm in ranked[:CANDIDATES]]:
+            if self.state.own.name not in [
+                vm.name for vm in ranked[:CANDIDATES_PER_SHARE]
+            ]:
                 continue
             if await self._acquire(number):
                 return
 
     async def _acquire(self, number):
-        asked_at = read_boot_time()
+        requested_at = read_boot_time()
         key = f"{self.team}/probe-share/{number}"
         name = self.state.own.name
         answer = await self.store_calls.run(
@@ -77,19 +81,19 @@
         )
         if not isinstance(answer, LeaseGranted):
             return False
-        self.share = ProbeShare.acquire(number, answer.lease, answer.ttl, asked_at)
+        self.share = ProbeShare.acquire(number, answer.lease, answer.ttl, requested_at)
         log_event(Event.PROBE_SHARE_HELD, share=number)
         self.publish(self.share)
         return True
 
     async def _renew(self):
-        asked_at = read_boot_time()
+        requested_at = read_boot_time()
         share = self.share
         answer = await self.store_calls.run(
             self.store.renew, share.lease, PROBE_SHARE_TTL_SECONDS
         )
         if isinstance(answer, LeaseGranted):
-            share.renew(answer.ttl, asked_at)
+            share.renew(answer.ttl, requested_at)
             self.publish(share)
         elif isinstance(answer, LeaseLost) or not share.is_held(read_boot_time()):
             log_event(Event.PROBE_SHARE_LOST, share=share.number)
@@ -97,7 +101,7 @@
             self.publish(None)
 
     async def release(self):
-        """Give the share up, as in a planned stop."""
+        """Release the share before a planned stop."""
         if self.share is not None:
             self.publish(None)
             await self.store_calls.run(self.store.release, self.share.lease)
--- a/packages/hingesill-node/hingesill_node/control/publisher.py
+++ b/packages/hingesill-node/hingesill_node/control/publisher.py
@@ -1,4 +1,4 @@
-"""Bringing what the control thread knows onto the blackboard of the hub."""
+"""Publication of the state of the control thread on the blackboard of the hub."""
 
 from msgspec.structs import replace
 
@@ -14,16 +14,16 @@
 
 
 class Publisher:
-    """Writes configuration, fleet and signs when they have changed.
+    """Posts configuration, fleet, peers and drain notices when they have changed.
 
     Parameters
     ----------
     blackboard : Blackboard
-        Written on the hub's thread only.
+        Written on the thread of the hub only.
     bridge : Bridge
-        Leads there.
+        Runs the writes on the thread of the hub.
     fleet_limit : int
-        For the FleetView.
+        Limit for the FleetView.
     """
 
     def __init__(self, blackboard, bridge, fleet_limit):
@@ -37,7 +37,7 @@
         self._built = {}
 
     def publish(self, state):
-        """Post what has changed since the last call."""
+        """Post the parts that have changed since the last call."""
         if state.replica.revision != self.revision:
             self.revision = state.replica.revision
             configuration = self._build_configuration(state.replica)
@@ -51,13 +51,13 @@
         if peers != self.peers:
             self.peers = peers
             self.bridge.post(self.blackboard.write, "peers", peers)
-        if state.signs.generation != self.generation:
-            self.generation = state.signs.generation
-            signs = state.signs.list_until(0.0)
-            self.bridge.post(self.blackboard.write, "signs", signs)
+        if state.drain_notices.generation != self.generation:
+            self.generation = state.drain_notices.generation
+            notices = state.drain_notices.list_until(0.0)
+            self.bridge.post(self.blackboard.write, "signs", notices)
 
     def publish_share(self, share):
-        """Post the share of the probe budget, or None."""
+        """Post the share of the probe budget, or None if there is none."""
         copy = None if share is None else replace(share)
         self.bridge.post(self.blackboard.write, "probe_share", copy)
 
@@ -66,15 +66,15 @@
         return FleetView(state.own.data_centre, nodes, self.fleet_limit)
 
     def _build_configuration(self, replica):
-        """Return the Configuration of a replica; only new versions are parsed."""
+        """Return the Configuration of a replica, parsing only new versions."""
         built = {}
-        for name, held in replica.services.items():
-            if held.document is None:
+        for name, versioned in replica.services.items():
+            if versioned.document is None:
                 continue
             known = self._built.get(name)
-            if known is None or known[0] != held.version:
+            if known is None or known[0] != versioned.version:
                 last_good = known[1] if known is not None else None
-                known = (held.version, self._parse(name, held) or last_good)
+                known = (versioned.version, self._parse(name, versioned) or last_good)
             built[name] = known
         self._built = built
         services = {
@@ -84,14 +84,14 @@
             replica.revision, services, RouteTable(list_routes(services))
         )
 
-    def _parse(self, name, held):
+    def _parse(self, name, versioned):
         findings = Findings()
-        declaration = parse_declaration(held.document, findings)
+        declaration = parse_declaration(versioned.document, findings)
         if declaration is None:
             log_event(
                 Event.DOCUMENT_INVALID,
                 service=name,
-                version=held.version,
+                version=versioned.version,
                 findings=[str(finding) for finding in findings],
             )
             return None
@@ -105,7 +105,7 @@
 
 
 def list_peers(state):
-    """Return where other nodes listen, those of the same data centre first."""
+    """Return the addresses of other nodes, those of the same data centre first."""
     own = state.own
     others = [
         vm for vm in state.membership.list_usable(state.clock()) if vm.name != own.name
--- a/packages/hingesill-node/hingesill_node/control/spreader.py
+++ b/packages/hingesill-node/hingesill_node/control/replicator.py
@@ -1,4 +1,4 @@
-"""Getting changes: from the store as a relay, from a parent otherwise."""
+"""Replication of the change log: relays read the store, others read a parent."""
 
 import asyncio
 
@@ -20,29 +20,30 @@
 from hingesill_node.control.state import NEVER_CONFIRMED, copy_replica
 from hingesill_node.telemetry.events import Event, log_event
 
-__all__ = ["Spreader"]
+__all__ = ["Replicator"]
 
-WATCH_SECONDS = 5.0
-WATCH_AGE_SECONDS = 0.5
+WATCH_TIMEOUT_SECONDS = 5.0
+# A watch that returned is taken to show the store at most this many seconds ago.
+MAX_WATCH_AGE_SECONDS = 0.5
 HEARTBEAT_SECONDS = 2.0
-SILENCE_SECONDS = 5.0
-REVIEW_SECONDS = 1.0
-SNAPSHOT_EVERY = 512
+PARENT_TIMEOUT_SECONDS = 5.0
+POSITION_CHECK_SECONDS = 1.0
+SNAPSHOT_INTERVAL_ENTRIES = 512
 
 
-class Spreader:
-    """Keeps the replica at the newest state that any path leads to.
+class Replicator:
+    """Keeps the replica at the newest state that the store or a parent has.
 
     Parameters
     ----------
     state : ControlState
-        Read and written.
+        Holds the replica, which is updated.
     changelog : ChangeLog
-        The log in the store.
+        Change log in the store.
     store_calls : StoreCalls
-        Runs the blocking calls.
+        Runs the blocking calls to the store.
     channels : Channels
-        To other nodes.
+        Channels to other nodes.
     """
 
     def __init__(self, state, changelog, store_calls, channels):
@@ -54,12 +55,12 @@
         self.snapshot_revision = 0
 
     async def run(self):
-        """Work until cancelled; a place in the tree that changes is followed."""
+        """Follow the store or a parent, as the position in the tree says."""
         watch = None
-        follow = asyncio.create_task(self._follow())
+        follow = asyncio.create_task(self._follow_parents())
         try:
             while True:
-                relay = self._find_place().relay
+                relay = self._find_position().relay
                 if relay != self.state.is_relay:
                     self.state.is_relay = relay
                     if relay:
@@ -69,18 +70,18 @@
                 if not relay and watch is not None:
                     watch.cancel()
                     watch = None
-                await asyncio.sleep(REVIEW_SECONDS)
+                await asyncio.sleep(POSITION_CHECK_SECONDS)
         finally:
             follow.cancel()
             if watch is not None:
                 watch.cancel()
 
-    def _find_place(self):
+    def _find_position(self):
         usable = self.state.membership.list_usable(self.state.clock())
         return find_position(self.state.own, usable)
 
     async def _watch_store(self):
-        """Follow the tail of the change log."""
+        """Watch the tail of the change log in the store until cancelled."""
         backoff = Backoff()
         while True:
             before = self.state.clock()
@@ -89,18 +90,18 @@
                 confirmed = before
             else:
                 answer = await self.store_calls.run(
-                    self.changelog.watch_tail, self.tail_version, WATCH_SECONDS
+                    self.changelog.watch_tail, self.tail_version, WATCH_TIMEOUT_SECONDS
                 )
-                confirmed = max(before, self.state.clock() - WATCH_AGE_SECONDS)
+                confirmed = max(before, self.state.clock() - MAX_WATCH_AGE_SECONDS)
             if isinstance(answer, StoreFailure):
                 self.tail_version = None
                 await asyncio.sleep(backoff.get_pause())
                 continue
             backoff.reset()
-            await self._take_tail(answer, confirmed, backoff)
+            await self._apply_tail(answer, confirmed, backoff)
 
-    async def _take_tail(self, answer, confirmed, backoff):
-        """Take what a read or a watch brought."""
+    async def _apply_tail(self, answer, confirmed, backoff):
+        """Apply the result of a read or a watch of the tail."""
         if isinstance(answer, Tail):
             outcome = await self.catch_up(answer)
             if isinstance(outcome, StoreFailure):
@@ -113,10 +114,10 @@
                 return
             self.tail_version = answer.version
         self.state.confirm(confirmed)
-        await self._snapshot_now_and_then()
+        await self._write_due_snapshot()
 
     async def catch_up(self, tail):
-        """Bring the node's replica up to a tail; return what became of it."""
+        """Apply the log up to a tail; return Applied or a StoreFailure."""
         copy = copy_replica(self.state.replica)
         outcome = await self.store_calls.run(self.changelog.catch_up, copy, tail)
         if outcome is Applied.APPLIED:
@@ -124,14 +125,14 @@
             self.state.adopt(copy.build_difference(min(since, copy.revision)), "store")
         return outcome
 
-    async def _snapshot_now_and_then(self):
-        """Write a snapshot when the log has grown by many entries.
+    async def _write_due_snapshot(self):
+        """Write a snapshot if the log has grown by enough entries since the last one.
 
-        One relay of the whole fleet does so, by rendezvous hash; two that both
-        think it is they cost a few writes and do no harm.
+        Rendezvous hashing selects one relay of the whole fleet. Relays whose lists of
+        VMs differ may both write one, which costs a few writes and does no harm.
         """
         replica = self.state.replica
-        if replica.revision - self.snapshot_revision < SNAPSHOT_EVERY:
+        if replica.revision - self.snapshot_revision < SNAPSHOT_INTERVAL_ENTRIES:
             return
         self.snapshot_revision = replica.revision
         relays = list_relays(self.state.membership.list_usable(self.state.clock()))
@@ -143,30 +144,30 @@
         if isinstance(before, Snapshot):
             await self.store_calls.run(self.changelog.truncate_before, before)
 
-    async def _follow(self):
-        """Subscribe to a parent, the next one after each failure."""
+    async def _follow_parents(self):
+        """Subscribe to a parent until cancelled; try the next one after a failure."""
         backoff = Backoff(0.2, 2.0)
         attempt = 0
         while True:
             if self.state.is_relay and self.state.is_store_available:
                 self.state.parent = ""
-                await asyncio.sleep(REVIEW_SECONDS)
+                await asyncio.sleep(POSITION_CHECK_SECONDS)
                 continue
-            parents = self._find_place().parents
+            parents = self._find_position().parents
             if not parents:
-                await asyncio.sleep(REVIEW_SECONDS)
+                await asyncio.sleep(POSITION_CHECK_SECONDS)
                 continue
             parent = parents[attempt % len(parents)]
-            heard = await self._subscribe(parent)
-            if heard:
+            received = await self._subscribe(parent)
+            if received:
                 backoff.reset()
                 attempt = 0
             else:
                 attempt += 1
             await asyncio.sleep(backoff.get_pause())
 
-    def _ask_for_changes(self, vm):
-        """Return the stream of another node's changes."""
+    def _open_subscription(self, vm):
+        """Return the stream of changes of another node."""
         state = self.state
         stub = PeersStub(self.channels.get(vm.control))
         return stub.Subscribe(
@@ -180,33 +181,39 @@
         )
 
     async def fetch(self, vm):
-        """Take what another node holds now, and no more."""
-        call = self._ask_for_changes(vm)
+        """Apply the current state of another node, without staying subscribed."""
+        call = self._open_subscription(vm)
         try:
-            update = await asyncio.wait_for(call.read(), SILENCE_SECONDS)
+            update = await asyncio.wait_for(call.read(), PARENT_TIMEOUT_SECONDS)
             if update is not grpc.aio.EOF:
-                self._take_update(update, vm.name)
+                self._apply_update(update, vm.name)
         except (grpc.aio.AioRpcError, TimeoutError):
             self.state.membership.mark_unreachable(vm.name, self.state.clock())
         finally:
             call.cancel()
 
     async def _subscribe(self, parent):
-        """Take changes from a parent until it falls silent; tell if it spoke."""
+        """Apply the changes of a parent until it stops sending.
+
+        Returns
+        -------
+        bool
+            Whether the parent sent anything.
+        """
         state = self.state
-        call = self._ask_for_changes(parent)
-        heard = False
+        call = self._open_subscription(parent)
+        received = False
         try:
             while not (state.is_relay and state.is_store_available):
-                update = await asyncio.wait_for(call.read(), SILENCE_SECONDS)
+                update = await asyncio.wait_for(call.read(), PARENT_TIMEOUT_SECONDS)
                 if update is grpc.aio.EOF:
                     break
-                if not heard:
+                if not received:
                     log_event(Event.PARENT_FOUND, parent=parent.name)
                     state.parent = parent.name
                     state.membership.mark_reachable(parent.name)
-                heard = True
-                if not self._take_update(update, parent.name):
+                received = True
+                if not self._apply_update(update, parent.name):
                     break
         except (grpc.aio.AioRpcError, TimeoutError) as error:
             state.membership.mark_unreachable(parent.name, state.clock())
@@ -214,10 +221,10 @@
         finally:
             call.cancel()
             state.parent = ""
-        return heard
+        return received
 
-    def _take_update(self, update, source):
-        """Take one message of a parent; False if the two belong to other logs."""
+    def _apply_update(self, update, source):
+        """Apply a message of a parent; return whether to stay subscribed to it."""
         state = self.state
         now = state.clock()
         state.last_peer_at = now
@@ -231,7 +238,7 @@
             applied = state.adopt(difference, source)
             if applied in (Applied.FORKED, Applied.GAP):
                 return False
-        if not self._agrees(update, source):
+        if not self._has_same_log(update, source):
             return False
         if update.revision <= state.replica.revision:
             if update.confirmed_age_ms < NEVER_CONFIRMED:
@@ -239,8 +246,8 @@
         state.apply_drain_notices(decode_drain_notices(update.signs, now))
         return True
 
-    def _agrees(self, update, source):
-        """Tell whether a parent's change log is this node's."""
+    def _has_same_log(self, update, source):
+        """Return whether a parent follows the same change log as this node."""
         known = self.state.replica.find_chain(update.revision)
         if known is None or known == update.chain:
             return True
@@ -249,7 +256,7 @@
 
 
 def describe(error):
-    """Return a failed call's error in few words."""
+    """Return the status code or the type of the error of a failed call."""
     if isinstance(error, grpc.aio.AioRpcError):
         return error.code().name
     return type(error).__name__
--- a/packages/hingesill-node/hingesill_node/control/state.py
+++ b/packages/hingesill-node/hingesill_node/control/state.py
@@ -1,4 +1,4 @@
-"""What the control thread knows; only its loop touches it."""
+"""State of the control thread; only its event loop may access it."""
 
 import asyncio
 from collections import OrderedDict
@@ -22,26 +22,26 @@
 
 
 class ControlState(Struct):
-    """The replica, its freshness, the membership and the drain signs.
+    """The replica, its freshness, the membership and the drain notices.
 
     Parameters
     ----------
     membership : Membership
-        The node's own VM and the others.
+        VMs of this node and of the others.
     counters : Counters
         Shared with the data path.
     interests : frozenset of str
-        The services this node holds; empty for all.
+        Services that this node holds; empty for all.
     publish : callable
-        Called after each change of the replica or of the signs.
+        Called after each change of the replica or of the drain notices.
 
     Attributes
     ----------
     clock : callable
-        Seconds by which what is known here ages, those in which the VM was suspended
-        too: what was confirmed before a suspension is old after it.
-    settled : bool
-        Whether a started node knows that it holds what others hold.
+        Returns seconds that include the time in which the VM was suspended, so that a
+        state that was confirmed before a suspension is old after it.
+    initialized : bool
+        Whether a started node is known to hold the same state as the others.
     """
 
     membership: Membership
@@ -50,12 +50,12 @@
     publish: object
     clock: object = read_boot_time
     replica: Replica = field(default_factory=Replica)
-    signs: DrainNoticeTable = field(default_factory=DrainNoticeTable)
+    drain_notices: DrainNoticeTable = field(default_factory=DrainNoticeTable)
     confirmed_at: float | None = None
     parent: str = ""
     is_relay: bool = False
     is_store_available: bool = False
-    settled: bool = False
+    initialized: bool = False
     last_peer_at: float | None = None
     _changed: object = None
 
@@ -64,58 +64,58 @@
 
     @property
     def own(self):
-        """This node."""
+        """VM of this node."""
         return self.membership.own
 
     def adopt(self, difference, source):
-        """Take a difference; log one that is refused.
+        """Apply a difference to the replica; log one that is refused.
 
         Returns
         -------
         Applied
-            As the replica judged it.
+            Result of applying it.
         """
         applied = self.replica.adopt(difference)
         event = REFUSED_EVENTS.get(applied)
         if event is not None:
             log_event(event, source=source, offered=difference.revision)
         if applied is Applied.APPLIED:
-            self.wake()
+            self.publish_change()
         return applied
 
-    def apply_drain_notices(self, signs):
-        """Take drain signs; wake everybody if one of them is news."""
+    def apply_drain_notices(self, notices):
+        """Apply drain notices; return whether any was newer than the known one."""
         now = self.clock()
-        news = [sign for sign in signs if self.signs.take(sign, now)]
-        for sign in news:
-            if sign.until > now:
-                log_event(Event.ENDPOINT_DRAINING, endpoint=sign.endpoint)
-        if news:
-            self.wake()
-        return bool(news)
+        applied = [notice for notice in notices if self.drain_notices.take(notice, now)]
+        for notice in applied:
+            if notice.until > now:
+                log_event(Event.ENDPOINT_DRAINING, endpoint=notice.endpoint)
+        if applied:
+            self.publish_change()
+        return bool(applied)
 
     def confirm(self, at):
-        """Note that the replica was the newest state at a time."""
+        """Record that the replica was the newest state at a time."""
         if self.confirmed_at is None or at > self.confirmed_at:
             self.confirmed_at = at
 
     def get_confirmed_age_ms(self):
-        """Return the milliseconds since the state was known to be the newest.
+        """Return the milliseconds since the state was last confirmed as the newest.
 
-        `NEVER_CONFIRMED` if neither the store nor a parent has said so yet.
+        `NEVER_CONFIRMED` if neither the store nor a parent has confirmed it yet.
         """
         if self.confirmed_at is None:
             return NEVER_CONFIRMED
         return max(0, int((self.clock() - self.confirmed_at) * 1000))
 
-    def wake(self):
-        """Publish to the hub and wake those who wait for a change."""
+    def publish_change(self):
+        """Publish to the hub and wake the tasks that wait for a change."""
         self.publish()
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
-    async def wait_change(self, seconds):
-        """Wait for the next change, or for some seconds."""
+    async def wait_for_change(self, seconds):
+        """Wait for the next change, for at most the given seconds."""
         try:
             await asyncio.wait_for(self._changed.wait(), seconds)
         except TimeoutError:
@@ -123,7 +123,7 @@
 
 
 def copy_replica(replica):
-    """Return a copy that a thread may change."""
+    """Return a copy that another thread may change."""
     return Replica(
         replica.revision,
         replica.chain,
--- a/packages/hingesill-node/hingesill_node/control/storecalls.py
+++ b/packages/hingesill-node/hingesill_node/control/storecalls.py
@@ -1,4 +1,4 @@
-"""Calls to the store from the control loop: on threads, counted and limited."""
+"""Calls to the store from the control loop: counted, on a limited number of threads."""
 
 import asyncio
 from concurrent.futures import ThreadPoolExecutor
@@ -8,18 +8,18 @@
 
 __all__ = ["CountedStore", "StoreCalls"]
 
-THREADS = 6
+THREAD_COUNT = 6
 
 
 class CountedStore:
-    """A store whose calls are counted by kind.
+    """A store whose calls are counted by method.
 
     Parameters
     ----------
     store : Store
-        The adapter.
+        Adapter that the calls are passed to.
     counters : Counters
-        Gets ``store_calls``.
+        Receives ``store_calls``.
     """
 
     def __init__(self, store, counters):
@@ -39,33 +39,33 @@
 
 
 class StoreCalls:
-    """Runs blocking calls on a few threads and notes whether the store answers.
+    """Runs blocking calls on a few threads and records whether the store answers.
 
     Parameters
     ----------
     state : ControlState
-        Its ``is_store_available`` is written.
+        Its ``is_store_available`` is set.
     """
 
     def __init__(self, state):
         self._state = state
-        self._threads = ThreadPoolExecutor(THREADS, thread_name_prefix="store")
+        self._threads = ThreadPoolExecutor(THREAD_COUNT, thread_name_prefix="store")
 
     async def run(self, call, *arguments):
-        """Return what a blocking call returns."""
+        """Return the result of a blocking call."""
         loop = asyncio.get_running_loop()
         answer = await loop.run_in_executor(self._threads, call, *arguments)
-        self.note(not isinstance(answer, StoreFailure), answer)
+        self.record_availability(not isinstance(answer, StoreFailure), answer)
         return answer
 
-    def note(self, answers, detail=None):
-        """Note whether the store answered; log a change of that."""
-        if answers and not self._state.is_store_available:
+    def record_availability(self, available, detail=None):
+        """Record whether the store answered; log a change."""
+        if available and not self._state.is_store_available:
             log_event(Event.STORE_BACK)
-        if not answers and self._state.is_store_available:
+        if not available and self._state.is_store_available:
             log_event(Event.STORE_LOST, detail=str(detail))
-        self._state.is_store_available = answers
+        self._state.is_store_available = available
 
     def close(self):
-        """End the threads once their calls are over."""
+        """Stop the threads once their current calls have returned."""
         self._threads.shutdown(wait=False, cancel_futures=True)
--- a/packages/hingesill-node/hingesill_node/control/tests/test_state.py
+++ b/packages/hingesill-node/hingesill_node/control/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Tests of what the control thread knows."""
+"""Tests of the state of the control thread."""
 
 import time
 import unittest
@@ -12,16 +12,19 @@
 
 
 class SuspensionTests(unittest.TestCase):
-    """The boot's clock goes on while the VM is suspended, the steady one does not."""
+    """The age of a confirmation counts the time in which the VM was suspended.
+
+    The boot-time clock advances during a suspension; the monotonic clock does not.
+    """
 
     def build_state(self):
         own = Vm("n1", "127.0.0.1:1", "a")
         return ControlState(Membership(own), Counters(), frozenset(), lambda: None)
 
-    def test_what_was_confirmed_before_is_old_afterwards(self):
+    def test_confirmation_ages_during_a_suspension(self):
         state = self.build_state()
         state.confirm(state.clock())
-        woken_at = time.clock_gettime(time.CLOCK_BOOTTIME) + SUSPENDED_SECONDS
-        with patch("time.clock_gettime", return_value=woken_at):
+        resumed_at = time.clock_gettime(time.CLOCK_BOOTTIME) + SUSPENDED_SECONDS
+        with patch("time.clock_gettime", return_value=resumed_at):
             age = state.get_confirmed_age_ms() / 1000
         self.assertGreaterEqual(age, SUSPENDED_SECONDS)
--- a/packages/hingesill-node/hingesill_node/control/thread.py
+++ b/packages/hingesill-node/hingesill_node/control/thread.py
@@ -1,4 +1,4 @@
-"""The native thread that runs everything beside requests."""
+"""The native thread that runs everything except requests."""
 
 import asyncio
 import threading
@@ -22,20 +22,20 @@
     build_channel_credentials,
     build_server_credentials,
 )
+from hingesill_node.control.initialsync import InitialSync
 from hingesill_node.control.operators import Operators
 from hingesill_node.control.peers import Peers
 from hingesill_node.control.probeshares import ProbeShares
-from hingesill_node.control.settling import Settling
-from hingesill_node.control.spreader import Spreader
+from hingesill_node.control.replicator import Replicator
 from hingesill_node.control.state import ControlState
 from hingesill_node.control.storecalls import CountedStore, StoreCalls
-from hingesill_node.control.vmlist import ListReader
+from hingesill_node.control.vmlist import VmListReader
 from hingesill_node.store.registry import open_store
 
 __all__ = ["ControlThread"]
 
 STOP_GRACE_SECONDS = 0.5
-ENDPOINT_SIGN_SECONDS = 30.0
+ENDPOINT_NOTICE_SECONDS = 30.0
 
 
 class ControlThread:
@@ -44,20 +44,20 @@
     Parameters
     ----------
     settings : Settings
-        The node's.
+        Settings of the node.
     counters : Counters
         Shared with the data path.
     publisher : Publisher
-        Brings changes to the hub.
+        Posts changes to the hub.
     is_ready : callable
-        Tells whether the node is ready.
+        Returns whether the node is ready.
     explain : callable
-        Has the hub explain a route.
+        Asks the hub to explain a route.
 
     Attributes
     ----------
     address : str
-        Where the control port listens once ``start`` has returned.
+        Address of the control port, known once ``start`` has returned.
     """
 
     def __init__(self, settings, counters, publisher, is_ready, explain):
@@ -80,33 +80,33 @@
         Returns
         -------
         str or None
-            What went wrong, if something did.
+            Description of the error, if the start failed.
         """
         self._thread.start()
         self._started.wait()
         return self.error
 
     def stop(self):
-        """Ask the thread to end; it does so within a second."""
+        """Request the thread to stop, which takes less than a second."""
         if self._loop is not None and self._loop.is_running():
             self._loop.call_soon_threadsafe(self._stop.set)
 
     def is_alive(self):
-        """Tell whether the thread runs."""
+        """Return whether the thread is running."""
         return self._thread.is_alive()
 
     def announce_drain(self, endpoint):
-        """Spread an endpoint's own sign that it is leaving; from any thread."""
-        self._loop.call_soon_threadsafe(self._take_own_sign, endpoint)
+        """Announce that an endpoint is leaving; may be called from any thread."""
+        self._loop.call_soon_threadsafe(self._apply_own_notice, endpoint)
 
-    def _take_own_sign(self, endpoint):
+    def _apply_own_notice(self, endpoint):
         now = self.state.clock()
-        if self.state.signs.holds(endpoint, now, ENDPOINT_SIGN_SECONDS / 2):
+        if self.state.drain_notices.holds(endpoint, now, ENDPOINT_NOTICE_SECONDS / 2):
             return
         sequence = int(time.time() * 1000)
-        sign = DrainNotice(endpoint, sequence, now + ENDPOINT_SIGN_SECONDS)
-        self.state.apply_drain_notices([sign])
-        self._loop.create_task(self.announcer.tell([sign]))
+        notice = DrainNotice(endpoint, sequence, now + ENDPOINT_NOTICE_SECONDS)
+        self.state.apply_drain_notices([notice])
+        self._loop.create_task(self.announcer.announce([notice]))
 
     def _run(self):
         try:
@@ -130,17 +130,17 @@
         self.announcer = Announcer(self.state, channels)
         self._add_servicers(server, changelog, store_calls, channels)
         await server.start()
-        reader = ListReader(self.state, settings.vm_list)
+        reader = VmListReader(self.state, settings.vm_list)
         await reader.refresh() if reader.read else None
-        spreader = Spreader(self.state, changelog, store_calls, channels)
+        replicator = Replicator(self.state, changelog, store_calls, channels)
         shares = ProbeShares(
             self.state, store, store_calls, settings.team, self.publisher.publish_share
         )
         tasks = [
-            asyncio.create_task(spreader.run()),
+            asyncio.create_task(replicator.run()),
             asyncio.create_task(reader.run()),
             asyncio.create_task(self.announcer.run()),
-            asyncio.create_task(Settling(self.state, spreader, channels).run()),
+            asyncio.create_task(InitialSync(self.state, replicator, channels).run()),
         ]
         if settings.probing:
             tasks.append(asyncio.create_task(shares.run()))
@@ -154,7 +154,7 @@
         store_calls.close()
 
     def _bind(self, server):
-        """Listen on the control address; return it with its real port."""
+        """Listen on the control address; return it with the actual port."""
         address = self.settings.control_address
         credentials = build_server_credentials(self.settings)
         if credentials is None:
@@ -162,7 +162,7 @@
         else:
             port = server.add_secure_port(address, credentials)
         if port == 0:
-            raise OSError(f"{address} cannot be listened on")
+            raise OSError(f"cannot listen on {address}")
         return f"{address.rpartition(':')[0]}:{port}"
 
     def _build_state(self):
--- a/packages/hingesill-node/hingesill_node/control/vmlist.py
+++ b/packages/hingesill-node/hingesill_node/control/vmlist.py
@@ -1,4 +1,4 @@
-"""Reading the platform's lagging list of VMs: a seam with a registry."""
+"""Reading of the list of VMs of the platform, with a registry of sources."""
 
 import asyncio
 import json
@@ -14,21 +14,21 @@
 from hingesill_core.registry import Registry
 from hingesill_node.telemetry.events import Event, log_event
 
-__all__ = ["LISTS", "ListReader", "parse_list"]
+__all__ = ["LISTS", "VmListReader", "parse_list"]
 
 LISTS = Registry("list of VMs")
-POLL_SECONDS = 2.0
-READS_A_SECOND = 500
-READ_SECONDS = 2.0
-LEAVING_HOLDS = 30.0
+MIN_POLL_INTERVAL_SECONDS = 2.0
+MAX_READS_PER_SECOND = 500
+READ_TIMEOUT_SECONDS = 2.0
+LEAVING_NOTICE_SECONDS = 30.0
 NODE_ROLE = "node"
 HOLDS_ALL = "all"
 
 
 @LISTS.register("http")
 def read_http(url):
-    """Return the list that an address answers with."""
-    response = urllib3.request("GET", url, timeout=READ_SECONDS, retries=False)
+    """Return the list that an HTTP server provides."""
+    response = urllib3.request("GET", url, timeout=READ_TIMEOUT_SECONDS, retries=False)
     if response.status != 200:
         raise ValueError(f"status {response.status}")
     return json.loads(response.data)
@@ -36,12 +36,12 @@
 
 @LISTS.register("file")
 def read_file(url):
-    """Return the list that a file holds."""
+    """Return the list in a file."""
     return json.loads(Path(urlsplit(url).path).read_text())
 
 
 def parse_list(items):
-    """Sort a list's items into nodes and leaving endpoints.
+    """Return the nodes and the leaving endpoints of a list.
 
     Parameters
     ----------
@@ -55,12 +55,12 @@
     vms : list of Vm
         The nodes.
     leaving : list of str
-        Addresses of endpoints that leave.
+        Addresses of endpoints that are leaving.
 
     Raises
     ------
     ValueError
-        If the list is not of this form.
+        If the list does not have this form.
     """
     vms = []
     leaving = []
@@ -69,24 +69,24 @@
             state = VmState(item["state"])
             if item["role"] == NODE_ROLE:
                 holds_all = item.get("holds", HOLDS_ALL) == HOLDS_ALL
-                where = (item["address"], item["data_centre"])
-                vms.append(Vm(item["name"], *where, state, holds_all))
+                location = (item["address"], item["data_centre"])
+                vms.append(Vm(item["name"], *location, state, holds_all))
             elif state is VmState.LEAVING:
                 leaving.append(item["address"])
     except (LookupError, TypeError) as error:
-        raise ValueError(f"not a list of VMs: {error!r}") from error
+        raise ValueError(f"invalid list of VMs: {error!r}") from error
     return vms, leaving
 
 
-class ListReader:
-    """Puts each newer list in force.
+class VmListReader:
+    """Reads the list periodically and applies it to the state.
 
     Parameters
     ----------
     state : ControlState
-        Its membership and signs are written.
+        Its membership and drain notices are updated.
     url : str
-        Where the list is; empty for none.
+        Address of the list; empty if there is none.
     """
 
     def __init__(self, state, url):
@@ -96,21 +96,21 @@
         self.available = True
 
     async def run(self):
-        """Read the list again and again until cancelled.
+        """Read the list periodically until cancelled.
 
         Notes
         -----
-        The pause grows with the fleet, so that all nodes together read the list
-        `READS_A_SECOND` times a second at most.
+        The interval grows with the number of nodes, so that all nodes together read
+        the list at most `MAX_READS_PER_SECOND` times per second.
         """
         while self.read is not None:
             await self.refresh()
             nodes = len(self.state.membership.list_all())
-            pause = max(POLL_SECONDS, nodes / READS_A_SECOND)
+            pause = max(MIN_POLL_INTERVAL_SECONDS, nodes / MAX_READS_PER_SECOND)
             await asyncio.sleep(pause * (0.75 + random.random() / 2))
 
     async def refresh(self):
-        """Read the list once."""
+        """Read the list once and apply it."""
         loop = asyncio.get_running_loop()
         try:
             items = await loop.run_in_executor(None, self.read, self.url)
@@ -126,13 +126,13 @@
         self.state.publish()
 
     def _mark_leaving(self, leaving):
-        """Take the platform's word that endpoints leave."""
+        """Apply drain notices for endpoints that the platform reports as leaving."""
         state = self.state
         now = state.clock()
         sequence = int(time.time() * 1000)
-        signs = [
-            DrainNotice(address, sequence, now + LEAVING_HOLDS)
+        notices = [
+            DrainNotice(address, sequence, now + LEAVING_NOTICE_SECONDS)
             for address in leaving
-            if not state.signs.holds(address, now, LEAVING_HOLDS / 2)
+            if not state.drain_notices.holds(address, now, LEAVING_NOTICE_SECONDS / 2)
         ]
-        state.apply_drain_notices(signs)
+        state.apply_drain_notices(notices)
--- a/packages/hingesill-node/hingesill_node/store/__init__.py
+++ b/packages/hingesill-node/hingesill_node/store/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters to the platform's key-value service, in a registry."""
+"""Adapters for the key-value service of the platform, in a registry."""
 
 from hingesill_node.store import consul, memory
 
--- a/packages/hingesill-node/hingesill_node/store/consul.py
+++ b/packages/hingesill-node/hingesill_node/store/consul.py
@@ -1,8 +1,8 @@
-"""The adapter for a key-value service that speaks Consul's HTTP interface.
+"""The adapter for a key-value service with the HTTP interface of Consul.
 
-Source: the public description of its KV store, sessions and blocking queries.
-CAS is ``?cas=``, a watch is a blocking query with ``?index=``, a lease is a
-session with a TTL that holds a key by ``?acquire=``.
+It follows the public documentation of the KV store, sessions and blocking queries. CAS
+is ``?cas=``, a watch is a blocking query with ``?index=``, and a lease is a session
+with a TTL that acquires a key by ``?acquire=``.
 """
 
 import base64
@@ -25,21 +25,21 @@
 
 __all__ = ["ConsulStore"]
 
-CONNECT_SECONDS = 1.0
-ANSWER_SECONDS = 2.0
-WATCH_SLACK_SECONDS = 2.0
-POOL_SIZE = 8
-NOT_FOUND = 404
+CONNECT_TIMEOUT_SECONDS = 1.0
+READ_TIMEOUT_SECONDS = 2.0
+WATCH_TIMEOUT_MARGIN_SECONDS = 2.0
+MAX_POOLED_CONNECTIONS = 8
+STATUS_NOT_FOUND = 404
 
 
 @STORES.register("http")
 def open_http(url):
-    """Return the store at this address."""
+    """Return the store at an HTTP address."""
     return ConsulStore(url)
 
 
 class ConsulStore:
-    """The store over HTTP; its calls block, so they run on threads of their own.
+    """The store over HTTP. Its calls block, so callers run them on separate threads.
 
     Parameters
     ----------
@@ -50,41 +50,41 @@
     def __init__(self, url):
         self._url = url.rstrip("/")
         self._http = urllib3.PoolManager(
-            maxsize=POOL_SIZE, retries=False, block=False, num_pools=2
+            maxsize=MAX_POOLED_CONNECTIONS, retries=False, block=False, num_pools=2
         )
 
-    def _call(self, method, path, body=None, seconds=ANSWER_SECONDS):
+    def _call(self, method, path, body=None, seconds=READ_TIMEOUT_SECONDS):
         """Return the response, or StoreFailure.
 
-        A failure may have run unless no connection came about.
+        A failed call may have been executed unless the connection was not established.
         """
         try:
             response = self._http.request(
                 method,
                 f"{self._url}/v1/{path}",
                 body=body,
-                timeout=urllib3.Timeout(connect=CONNECT_SECONDS, read=seconds),
+                timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_SECONDS, read=seconds),
             )
         except (
             urllib3.exceptions.ConnectTimeoutError,
             urllib3.exceptions.NewConnectionError,
         ) as error:
-            return StoreFailure(f"no connection: {type(error).__name__}")
+            return StoreFailure(f"connection failed: {type(error).__name__}")
         except urllib3.exceptions.HTTPError as error:
-            return StoreFailure(f"no answer: {type(error).__name__}", True)
+            return StoreFailure(f"no response: {type(error).__name__}", True)
         if response.status >= 500:
             return StoreFailure(f"status {response.status}", True)
         return response
 
     def get(self, key):
         """See `hingesill_core.store.Store`."""
-        return self._read(f"kv/{quote(key)}", ANSWER_SECONDS)
+        return self._read(f"kv/{quote(key)}", READ_TIMEOUT_SECONDS)
 
     def _read(self, path, seconds):
         response = self._call("GET", path, seconds=seconds)
         if isinstance(response, StoreFailure):
             return response
-        if response.status == NOT_FOUND:
+        if response.status == STATUS_NOT_FOUND:
             return KeyMissing()
         try:
             item = json.loads(response.data)[0]
@@ -92,20 +92,20 @@
                 base64.b64decode(item["Value"] or ""), int(item["ModifyIndex"])
             )
         except (ValueError, LookupError, TypeError) as error:
-            return StoreFailure(f"an answer that is not understood: {error}")
+            return StoreFailure(f"cannot decode the response: {error}")
 
     def put(self, key, data, expected):
         """See `hingesill_core.store.Store`."""
         path = f"kv/{quote(key)}?cas={expected}"
         return self._write("PUT", path, data, VersionConflict())
 
-    def _write(self, method, path, body, refused):
+    def _write(self, method, path, body, on_refusal):
         response = self._call(method, path, body=body)
         if isinstance(response, StoreFailure):
             return response
         if response.status != 200:
             return StoreFailure(f"status {response.status}")
-        return Written() if response.data.strip() == b"true" else refused
+        return Written() if response.data.strip() == b"true" else on_refusal
 
     def delete(self, key):
         """See `hingesill_core.store.Store`."""
@@ -113,15 +113,17 @@
 
     def watch(self, key, version, timeout):
         """See `hingesill_core.store.Store`."""
-        # An index of 0 would not wait; a missing key is waited for at index 1.
+        # Index 0 would return at once; index 1 waits for a missing key.
         index = max(1, version)
         wait = f"{int(timeout * 1000)}ms"
         answer = self._read(
             f"kv/{quote(key)}?index={index}&wait={wait}",
-            timeout + WATCH_SLACK_SECONDS,
+            timeout + WATCH_TIMEOUT_MARGIN_SECONDS,
         )
-        same = isinstance(answer, (Value, KeyMissing)) and answer.version == version
-        return Unchanged() if same else answer
+        unchanged = (
+            isinstance(answer, (Value, KeyMissing)) and answer.version == version
+        )
+        return Unchanged() if unchanged else answer
 
     def acquire(self, key, holder, ttl):
         """See `hingesill_core.store.Store`."""
@@ -132,13 +134,13 @@
         try:
             lease = json.loads(response.data)["ID"]
         except (ValueError, LookupError, TypeError) as error:
-            return StoreFailure(f"an answer that is not understood: {error}")
+            return StoreFailure(f"cannot decode the response: {error}")
         path = f"kv/{quote(key)}?acquire={lease}"
-        taken = self._write("PUT", path, holder.encode(), LeaseLost())
-        if isinstance(taken, Written):
+        outcome = self._write("PUT", path, holder.encode(), LeaseLost())
+        if isinstance(outcome, Written):
             return LeaseGranted(lease, ttl)
         self.release(lease)
-        return taken
+        return outcome
 
     def renew(self, lease, ttl):
         """See `hingesill_core.store.Store`."""
--- a/packages/hingesill-node/hingesill_node/store/memory.py
+++ b/packages/hingesill-node/hingesill_node/store/memory.py
@@ -1,4 +1,4 @@
-"""A store within the process, for tests and for a single node without a platform."""
+"""An in-memory store, for tests and for a single node without a platform."""
 
 import threading
 import time
@@ -23,7 +23,7 @@
 
 
 class LeaseRecord(Struct):
-    """Who holds which key until when."""
+    """Key, holder and expiry of a lease."""
 
     key: str
     holder: str
@@ -32,7 +32,7 @@
 
 @STORES.register("memory")
 def open_memory(url):
-    """Return the store of that name; all users in the process share it."""
+    """Return the store of an address, which is shared within the process."""
     with _shared_lock:
         return _shared.setdefault(url, MemoryStore())
 
@@ -43,7 +43,7 @@
     Parameters
     ----------
     clock : callable
-        Monotonic seconds, for leases.
+        Returns monotonic seconds, for the expiry of leases.
     """
 
     def __init__(self, clock=time.monotonic):
--- a/packages/hingesill-node/hingesill_node/store/registry.py
+++ b/packages/hingesill-node/hingesill_node/store/registry.py
@@ -1,4 +1,4 @@
-"""The registry of store adapters, keyed by the scheme of the store's address."""
+"""The registry of store adapters, keyed by the scheme of the address."""
 
 from urllib.parse import urlsplit
 
@@ -10,7 +10,7 @@
 
 
 def open_store(url):
-    """Return the store behind an address.
+    """Return the store at an address.
 
     Parameters
     ----------
@@ -20,11 +20,11 @@
     Raises
     ------
     ValueError
-        If no adapter has this scheme.
+        If there is no adapter for the scheme.
     """
     scheme = urlsplit(url).scheme
     adapter = STORES.get(scheme)
     if adapter is None:
         known = ", ".join(STORES.list_names())
-        raise ValueError(f"no store adapter for {url!r}; known are {known}")
+        raise ValueError(f"no store adapter for {url!r}; known schemes: {known}")
     return adapter(url)
--- a/packages/hingesill-node/hingesill_node/store/tests/test_conformance.py
+++ b/packages/hingesill-node/hingesill_node/store/tests/test_conformance.py
@@ -1,4 +1,4 @@
-"""The same tests of conformance on every adapter of the store."""
+"""Conformance tests that run on every store adapter."""
 
 import threading
 import time
@@ -21,7 +21,7 @@
 
 
 class Conformance:
-    """What every adapter must do; mixed into a test case an adapter."""
+    """Requirements on every adapter; a mixin for the test case of each adapter."""
 
     def put(self, key, data, expected=0):
         self.assertIsInstance(self.store.put(key, data, expected), Written)
@@ -30,7 +30,7 @@
     def test_missing_key(self):
         self.assertEqual(self.store.get("team/none"), KeyMissing())
 
-    def test_bytes_come_back(self):
+    def test_bytes_round_trip(self):
         data = bytes(range(256)) * 400
         self.put("team/a", data)
         self.assertEqual(self.store.get("team/a").data, data)
@@ -39,7 +39,7 @@
         self.put("team/b", b"1")
         self.assertIsInstance(self.store.put("team/b", b"2", 0), VersionConflict)
 
-    def test_write_of_the_version_read(self):
+    def test_write_with_the_version_read(self):
         version = self.put("team/c", b"1")
         newer = self.put("team/c", b"2", version)
         self.assertNotEqual(version, newer)
@@ -51,7 +51,7 @@
         self.assertIsInstance(self.store.delete("team/d"), Written)
         self.assertIsInstance(self.store.get("team/d"), KeyMissing)
 
-    def test_watch_ends_without_a_change(self):
+    def test_watch_times_out_without_a_change(self):
         version = self.put("team/e", b"1")
         self.assertEqual(self.store.watch("team/e", version, 0.1), Unchanged())
 
@@ -79,7 +79,7 @@
         again = self.store.acquire("team/lease-a", "ben", 10.0)
         self.assertIsInstance(again, LeaseGranted)
 
-    def test_lapsed_lease_is_lost(self):
+    def test_expired_lease_is_lost(self):
         held = self.store.acquire("team/lease-b", "ann", 0.1)
         time.sleep(0.2)
         self.assertIsInstance(
@@ -92,7 +92,7 @@
     def setUp(self):
         self.store = MemoryStore()
 
-    def test_opened_by_its_address(self):
+    def test_same_address_opens_same_store(self):
         self.assertIs(open_store("memory://x"), open_store("memory://x"))
 
 
@@ -103,14 +103,14 @@
         self.addCleanup(self.server.shutdown)
         self.store = open_store(self.server.url)
 
-    def test_lost_answer_may_have_run(self):
+    def test_lost_response_may_have_run(self):
         self.server.faults = {"lose_answers": 1}
         answer = self.store.put("team/h", b"1", 0)
         self.assertIsInstance(answer, StoreFailure)
         self.assertTrue(answer.may_have_run)
         self.assertEqual(self.store.get("team/h").data, b"1")
 
-    def test_nobody_there(self):
+    def test_refused_connection_did_not_run(self):
         answer = ConsulStore("http://127.0.0.1:1").put("team/i", b"1", 0)
         self.assertIsInstance(answer, StoreFailure)
         self.assertFalse(answer.may_have_run)
