--- a/packages/hingesill-node/hingesill_node/discovery/follower.py
+++ b/packages/hingesill-node/hingesill_node/discovery/follower.py
@@ -283,8 +283,8 @@
 
     def _find_catch_up_position(self, snapshot):
         """Return the Position that a relay that is behind must reach, or None."""
-        held = self.directory.position
-        return held if snapshot.position < held else None
+        known = self.directory.position
+        return known if snapshot.position < known else None
 
     def _handle_frame(self, relay, frame):
         now = self.clock()
@@ -298,9 +298,9 @@
         self.published_directory.publish_changes()
 
     def _start_stream(self, relay, snapshot):
-        held, received = self.directory.position, snapshot.position
+        known, received = self.directory.position, snapshot.position
         log_event(
-            Event.RELAY_FOUND, relay=relay.name, held=str(held), told=str(received)
+            Event.RELAY_FOUND, relay=relay.name, held=str(known), told=str(received)
         )
         self.is_synced = False
         self.feed.close("the node follows a relay")
@@ -412,8 +412,8 @@
             # The outage may have been too short for any call to fail.
             self.directory.record_return(self.clock())
         if not self.published_directory.apply(self.directory.apply_snapshot, snapshot):
-            held, read = self.directory.position, snapshot.position
-            log_event(Event.STORE_BEHIND, held=str(held), read=str(read))
+            known, read = self.directory.position, snapshot.position
+            log_event(Event.STORE_BEHIND, held=str(known), read=str(read))
             self._pause()
             return
         self.store_backoff.record_answer()
@@ -451,11 +451,11 @@
             self._interrupt()
             return
         self.last_contact_at = self.clock()
-        held = self.directory.position
+        known = self.directory.position
         is_restored = self.directory.is_from_later_era(answer)
-        is_broken = answer > held and self.watch.has_waited(SILENT_WATCH_SECONDS)
+        is_broken = answer > known and self.watch.has_waited(SILENT_WATCH_SECONDS)
         if is_restored or is_broken:
-            log_event(Event.WATCH_DEAF, held=str(held), told=str(answer))
+            log_event(Event.WATCH_DEAF, held=str(known), told=str(answer))
             self._interrupt()
             return
         self.feed.send_heartbeat()
--- a/packages/hingesill-node/hingesill_node/discovery/profiles.py
+++ b/packages/hingesill-node/hingesill_node/discovery/profiles.py
@@ -88,8 +88,8 @@
         """Return the stored profiles of declared services by name."""
         declared = self.directory.declared
         names = {service.name for service in declared.services} if declared else set()
-        held = self.directory.profile or Profile()
-        return {name: held.services[name] for name in held.services.keys() & names}
+        stored = self.directory.profile or Profile()
+        return {name: stored.services[name] for name in stored.services.keys() & names}
 
 
 def describe_levels(profile):
--- a/packages/hingesill-node/hingesill_node/discovery/publisheddirectory.py
+++ b/packages/hingesill-node/hingesill_node/discovery/publisheddirectory.py
@@ -48,18 +48,18 @@
         content : Snapshot or Changes
             The received content.
         """
-        held = self.directory.position
+        known = self.directory.position
         is_restored = self.directory.is_from_later_era(content.position)
         was_applied = method(content, self.clock())
         if is_restored:
-            self._record_restore(held, content)
+            self._record_restore(known, content)
         return was_applied
 
-    def _record_restore(self, held, content):
+    def _record_restore(self, known, content):
         self.counters.add("store_restores", "")
         log_event(
             Event.STORE_RESTORED,
-            held=str(held),
+            held=str(known),
             told=str(content.position),
             version_told=get_version(content.declared),
             version_kept=get_version(self.directory.declared),
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_outages.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_outages.py
@@ -72,7 +72,7 @@
 
 
 def simulate_refused_relays(size, seconds):
-    """Let the store refuse all relays; return the last node's delay after a change."""
+    """Simulate refused relays; return the last node's delay after a change."""
 
     def simulate():
         fleet = Fleet(size)
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_peers.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_peers.py
@@ -121,8 +121,8 @@
 
     def fetch_newer(self, directory, peer):
         nodes = self.list_records(peer)
-        held = replace(directory.build_snapshot(), nodes=nodes)
-        directory.apply_snapshot(held, 0.0)
+        snapshot = replace(directory.build_snapshot(), nodes=nodes)
+        directory.apply_snapshot(snapshot, 0.0)
         return self.client.fetch_newer(directory)
 
     def test_a_node_that_is_ahead_sends_its_snapshot(self):
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_registration.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_registration.py
@@ -10,8 +10,8 @@
 class EntrySource:
     """A source with set answers, which records the calls."""
 
-    def __init__(self, held=False):
-        self.resume_answer = LeaseGranted("7", 120.0) if held else LeaseLost()
+    def __init__(self, has_entry=False):
+        self.resume_answer = LeaseGranted("7", 120.0) if has_entry else LeaseLost()
         self.calls = []
         self.answer = LeaseGranted("7", 120.0)
 
