--- a/packages/hingesill-core/hingesill_core/ratelimits/ledger.py
+++ b/packages/hingesill-core/hingesill_core/ratelimits/grantscheduler.py
@@ -5,12 +5,18 @@
 
 from msgspec import Struct, field
 
-__all__ = ["GrantLedger", "GrantRun", "Granted", "HORIZON_SECONDS", "MOST_RUNS"]
+__all__ = [
+    "GrantScheduler",
+    "GrantRun",
+    "Granted",
+    "HORIZON_SECONDS",
+    "MAX_GRANT_RUNS_PER_REPLY",
+]
 
 # Longest time ahead for which requests are granted, in seconds.
 HORIZON_SECONDS = 0.7
 # Most endpoints in a reply, so that it fits into a datagram.
-MOST_RUNS = 24
+MAX_GRANT_RUNS_PER_REPLY = 24
 # Time for which refused requests count as demand, in seconds.
 UNMET_SECONDS = 1.0
 # Requests a second below which an endpoint counts as taking none.
@@ -45,18 +51,18 @@
     ----------
     runs : tuple of GrantRun
         What endpoints take.
-    again_in : float
+    retry_after : float
         Seconds until more may be granted; 0 if all was that was wanted.
     wait : float
         Seconds after which a request that came now may be granted.
     """
 
     runs: tuple[GrantRun, ...] = ()
-    again_in: float = 0.0
+    retry_after: float = 0.0
     wait: float = 0.0
 
 
-class GrantLedger(Struct):
+class GrantScheduler(Struct):
     """Gives out the requests that endpoints take, one after another.
 
     Parameters
@@ -77,7 +83,7 @@
     unmet: float = 0.0
     unmet_at: float = 0.0
 
-    def grant(self, rates, wanted, horizon, now, avoid=()):
+    def grant(self, rates, wanted, horizon, now, excluded=()):
         """Grant requests at the endpoints that are free first.
 
         Parameters
@@ -100,7 +106,7 @@
         """
         rates = {name: rate for name, rate in rates.items() if rate > LEAST_RATE}
         self._adopt(rates, now)
-        usable = [name for name in rates if name not in avoid]
+        usable = [name for name in rates if name not in excluded]
         until = now + min(horizon, HORIZON_SECONDS)
         runs = self._give_out(usable, wanted, until, now)
         missing = wanted - sum(run.count for run in runs)
@@ -116,7 +122,9 @@
         while usable and counts.total() < wanted:
             endpoint = min(usable, key=self.free_at.__getitem__)
             at = max(now, self.free_at[endpoint])
-            if at > until or (endpoint not in begun and len(begun) >= MOST_RUNS):
+            if at > until or (
+                endpoint not in begun and len(begun) >= MAX_GRANT_RUNS_PER_REPLY
+            ):
                 break
             begun.setdefault(endpoint, at - now)
             counts[endpoint] += 1
@@ -144,9 +152,11 @@
         self.unmet_at = now
 
     def _estimate(self, usable, horizon, now):
-        """Return again_in and wait of a Granted that lacks some."""
+        """Return retry_after and wait of a Granted that lacks some."""
         if not usable:
             return UNMET_SECONDS, UNMET_SECONDS
         first = max(0.0, min(self.free_at[name] for name in usable) - now)
-        again_in = max(0.0, first - horizon)
-        return again_in, first + self.unmet / sum(self.rates[name] for name in usable)
+        retry_after = max(0.0, first - horizon)
+        return retry_after, first + self.unmet / sum(
+            self.rates[name] for name in usable
+        )
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -1,24 +1,24 @@
 """One service at one node: from a request to an endpoint, and what it learns."""
 
-from hingesill_core.limits.admission import Pace
-from hingesill_core.limits.asking import AskBudget
+from hingesill_core.limits.latency import LatencyEstimate
+from hingesill_core.limits.querybudget import QueryBudget
 from hingesill_core.limits.queue import RequestQueue
 from hingesill_core.limits.shares import compute_send_limit
 from hingesill_core.ratelimits.service import ServiceLimits
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.retries.budget import TokenBudget
-from hingesill_core.retries.decision import NOT_ARRIVED, mark_exposure
-from hingesill_core.routing.asking import ASKING_POLICY
-from hingesill_core.routing.availability import AvailabilityBook
+from hingesill_core.retries.decision import NOT_EXECUTED, mark_may_have_run
+from hingesill_core.routing.availability import AvailabilityRegistry
 from hingesill_core.routing.endpoint_state import EndpointState, ServiceView
 from hingesill_core.routing.hedging import Hedging
 from hingesill_core.routing.latebinding import LateBinding
 from hingesill_core.routing.limitedrequests import LimitedRequests
-from hingesill_core.routing.messages import Hold, Refusal, Send, SendEnd
-from hingesill_core.routing.openings import Openings
+from hingesill_core.routing.loadqueries import FRESH_REPORT_POLICY
+from hingesill_core.routing.messages import Queued, Refusal, Send, SendStatus
 from hingesill_core.routing.policies import POLICIES
-from hingesill_core.routing.retrying import Retrying
+from hingesill_core.routing.retryhandler import RetryHandler
 from hingesill_core.routing.selection import takes_work
+from hingesill_core.routing.serviceavailability import ServiceAvailability
 
 __all__ = ["Dispatcher"]
 
@@ -36,13 +36,13 @@
         The node and its fleet.
     rng : random.Random
         Source of all random choices.
-    ask_pool : AskBudget or None
+    query_pool : QueryBudget or None
         Shared with other services of the node.
-    curves : SlotCurves or None
+    curves : LatencyCurves or None
         Of all services of the node.
     limits : ServiceLimits or None
         What the service's endpoints in need still take; of this node alone if None.
-    availabilities : AvailabilityBook or None
+    availabilities : AvailabilityRegistry or None
         Of all endpoints' lives that the node knows; of this service alone if None.
     """
 
@@ -51,28 +51,28 @@
         service,
         fleet,
         rng,
-        ask_pool=None,
+        query_pool=None,
         curves=None,
         limits=None,
         availabilities=None,
     ):
         self.rng = rng
-        self.availabilities = availabilities or AvailabilityBook()
+        self.availabilities = availabilities or AvailabilityRegistry()
         self.states = {}
         self.view = ServiceView()
         self.last_submit = float("-inf")
         self.queue = RequestQueue(service.queue_limit)
         self._displaced = []
-        self.pace = Pace()
+        self.pace = LatencyEstimate()
         self.paces = {}
         self.hedging = Hedging(self, service.sends.hedge_share)
         self.retries = TokenBudget(service.sends.retry_share)
-        self.retrying = Retrying(self)
-        self.openings = Openings(self)
+        self.retrying = RetryHandler(self)
+        self.service_availability = ServiceAvailability(self)
         self.limits = limits or ServiceLimits(service.name, rng)
         self.limits.usable = self._takes_work
         self.limited_requests = LimitedRequests(self)
-        self.binding = LateBinding(self, ask_pool or AskBudget(), curves)
+        self.binding = LateBinding(self, query_pool or QueryBudget(), curves)
         self.configure(service, fleet)
 
     def configure(self, service, fleet):
@@ -116,7 +116,7 @@
         state.slots = endpoint.slots
         state.is_near = near
         state.region = endpoint.region
-        state.note_entry(endpoint.warm_in)
+        state.record_entry(endpoint.warm_in)
         state.send_limit = compute_send_limit(
             endpoint, self.service.places, self.fleet.nodes, self.fleet.fleet_limit
         )
@@ -129,14 +129,14 @@
             return False
         return not state.health.is_ejected(now)
 
-    def note_limit(self, send, named, now):
+    def record_limit(self, send, named, now):
         """Take what the head of a send's answer named as the endpoint's limit.
 
         Parameters
         ----------
         send : Send
             As it was given out.
-        named : NamedLimit or None
+        named : ParsedLimit or None
             None if it was not this endpoint's.
         now : float
             The time.
@@ -144,11 +144,11 @@
         if named is not None:
             self.limits.note(send.endpoint, send.born, named, send.started, now)
 
-    def get_pace(self, route):
+    def get_latency(self, route):
         """Return how long the answers of a route take."""
         pace = self.paces.get(route)
         if pace is None:
-            pace = self.paces[route] = Pace()
+            pace = self.paces[route] = LatencyEstimate()
         return pace
 
     def submit(self, ticket, now):
@@ -162,14 +162,14 @@
         self.last_submit = now
         self.hedging.budget.earn()
         self.retries.earn()
-        ask = self.begin_asking(ticket, now)
+        ask = self.begin_queries(ticket, now)
         if ask is not None:
             return ask
         return self.dispatch_unasked(ticket, now)
 
-    def begin_asking(self, ticket, now):
+    def begin_queries(self, ticket, now):
         """Return an Ask or a Refusal, or None if this service does not ask."""
-        if self.service.policy != ASKING_POLICY:
+        if self.service.policy != FRESH_REPORT_POLICY:
             return None
         return self.binding.enter(ticket, now)
 
@@ -179,31 +179,31 @@
             send = self.assign(ticket, now)
             if send is not None:
                 return send
-        return self.hold_or_refuse(ticket, now)
+        return self.queue_or_refuse(ticket, now)
 
-    def hold_or_refuse(self, ticket, now):
+    def queue_or_refuse(self, ticket, now):
         """Return Hold if a request can wait and still be in time, else its Refusal."""
         if not self.has_takers(ticket.route, now):
             return self.refuse(ticket, RefusalReason.NO_ENDPOINT, now)
-        refusal = self.openings.find_refusal(ticket, now)
+        refusal = self.service_availability.find_refusal(ticket, now)
         if refusal is not None:
             return refusal
         if self.limits.limited and self.limited_requests.is_surplus(ticket, now):
             return self.refuse(ticket, RefusalReason.ENDPOINTS_LIMITED, now)
         ahead = self.queue.count_ahead(ticket)
         wait = self.pace.estimate_queue_time(ahead, self.places)
-        if now + wait + self.get_pace(ticket.route).quick > ticket.deadline:
+        if now + wait + self.get_latency(ticket.route).p10 > ticket.deadline:
             return self.refuse(ticket, RefusalReason.DEADLINE_UNREACHABLE, now)
         if not self._make_room(ticket):
             return self.refuse(ticket, RefusalReason.QUEUE_FULL, now)
         self.queue.add(ticket)
-        return Hold()
+        return Queued()
 
     def _make_room(self, ticket):
         """Tell whether the queue can take a ticket; a live one displaces others."""
         if len(self.queue) < self.queue.limit:
             return True
-        displaced = self.queue.displace() if ticket.route.live else None
+        displaced = self.queue.evict_deferrable() if ticket.route.live else None
         if displaced is None:
             return False
         self._displaced.append(displaced)
@@ -214,18 +214,20 @@
         outcome = Outcome.UNKNOWN if ticket.exposed else Outcome.NOT_RUN
         if reason is RefusalReason.ENDPOINTS_LIMITED:
             wait = self.limits.grant_client.get_wait(now)
-            return Refusal(reason, outcome, self.pace.suggest_return(wait, self.rng))
-        return Refusal(reason, outcome, self.suggest_return(ticket.route, now))
+            return Refusal(
+                reason, outcome, self.pace.suggest_retry_after(wait, self.rng)
+            )
+        return Refusal(reason, outcome, self.suggest_retry_after(ticket.route, now))
 
-    def suggest_return(self, route, now):
+    def suggest_retry_after(self, route, now):
         """Return the seconds after which a caller finds room, as far as known."""
-        rest = self.openings.suggest_return(route, now)
-        if rest is not None:
-            return rest
+        backoff = self.service_availability.suggest_retry_after(route, now)
+        if backoff is not None:
+            return backoff
         wait = self.binding.estimate_wait(now)
         if not wait:
             wait = self.pace.estimate_queue_time(len(self.queue), self.places)
-        return self.pace.suggest_return(wait, self.rng)
+        return self.pace.suggest_retry_after(wait, self.rng)
 
     def has_takers(self, route, now):
         """Tell whether any endpoint takes a route's new work, busy or not."""
@@ -253,12 +255,12 @@
         warm_up = self.binding.warm_up
         if not state.has_place(ticket, now):
             return False
-        return warm_up.allows_unasked(state, now, self.rng)
+        return warm_up.allows_without_query(state, now, self.rng)
 
     def start_send(self, ticket, state, now, hedge=False):
         """Return a Send to an endpoint, with all that is noted of it."""
         load = state.predict_load(now)
-        expected = load * self.get_pace(ticket.route).typical
+        expected = load * self.get_latency(ticket.route).median
         send = Send(ticket, state.identity, now, expected, load, hedge, born=state.born)
         state.begin(send, now)
         ticket.sends += 1
@@ -308,9 +310,9 @@
         """Return the Refusal of a held request that cannot be served, or None."""
         if not self.has_takers(ticket.route, now):
             return self.refuse(ticket, RefusalReason.NO_ENDPOINT, now)
-        if now + self.get_pace(ticket.route).quick > ticket.deadline:
+        if now + self.get_latency(ticket.route).p10 > ticket.deadline:
             return self.refuse(ticket, RefusalReason.DEADLINE_UNREACHABLE, now)
-        return self.openings.find_refusal(ticket, now)
+        return self.service_availability.find_refusal(ticket, now)
 
     def abandon(self, ticket):
         """Forget a held request whose caller is gone."""
@@ -328,7 +330,7 @@
         now : float
             The time.
         """
-        mark_exposure(send.ticket, result.end)
+        mark_may_have_run(send.ticket, result.end)
         state = self.find_state(send)
         if state is None:
             return
@@ -336,12 +338,12 @@
         seconds = now - send.started
         state.learn(result, seconds, send.expected, now)
         self._learn_pace(send, result, seconds)
-        if result.end is SendEnd.ANSWERED:
-            self.binding.note_answer(send, seconds, now)
-        if result.end in NOT_ARRIVED:
+        if result.end is SendStatus.ANSWERED:
+            self.binding.record_answer(send, seconds, now)
+        if result.end in NOT_EXECUTED:
             send.ticket.sends -= 1
         # An endpoint that asks for a rest is not unhealthy.
-        end = SendEnd.REFUSED if result.rest.seconds else result.end
+        end = SendStatus.REFUSED if result.backoff.seconds else result.end
         came_back = state.health.note(end, now, self._may_eject(now))
         if came_back or result.cold:
             state.cold_since = now
@@ -352,13 +354,13 @@
         return state if state is not None and state.born == send.born else None
 
     def _learn_pace(self, send, result, seconds):
-        if result.end is not SendEnd.ANSWERED:
+        if result.end is not SendStatus.ANSWERED:
             return
         route = send.ticket.route
-        self.get_pace(route).note(seconds, send.load)
+        self.get_latency(route).note(seconds, send.load)
         if route.live:
             self.pace.note(seconds)
-            away = OTHER_DATA_CENTRE / self.pace.typical
+            away = OTHER_DATA_CENTRE / self.pace.median
             for state in self.states.values():
                 state.distance = 0.0 if state.is_near else away
 
@@ -370,7 +372,7 @@
         """Decide what follows a send that brought no answer; see `Retrying.decide`."""
         return self.retrying.decide(ticket, end, now)
 
-    def note_probe(self, endpoint, result, now):
+    def record_probe(self, endpoint, result, now):
         """Take what a probe told of an endpoint.
 
         Notes
@@ -383,17 +385,19 @@
         state.last_probe = now
         if result.report is not None:
             state.report = result.report
-            self.view.note_report(result.report)
+            self.view.record_report(result.report)
         if result.limit is not None:
             limit = result.limit
             self.limits.note(endpoint, state.born, limit, now, now, is_health=True)
-        self.openings.note(endpoint, state.born, result.rest, result.leaving, now)
-        if state.health.needs_trial(now):
-            state.health.on_trial = True
+        self.service_availability.note(
+            endpoint, state.born, result.backoff, result.leaving, now
+        )
+        if state.health.is_trial_due(now):
+            state.health.trial_in_flight = True
         if state.health.note(result.end, now, self._may_eject(now)) or result.cold:
             state.cold_since = now
 
-    def note_suspicion(self, endpoint, ratio, now):
+    def record_suspicion(self, endpoint, ratio, now):
         """Take another node's word that an endpoint's answers are overdue.
 
         Parameters
@@ -407,7 +411,7 @@
         """
         state = self.states.get(endpoint)
         if state is not None:
-            state.note_suspicion(ratio, now)
+            state.record_suspicion(ratio, now)
 
     def mark_draining(self, endpoint, until):
         """Give an endpoint no new work until a time."""
--- a/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
+++ b/packages/hingesill-core/hingesill_core/routing/endpoint_state.py
@@ -5,11 +5,11 @@
 
 from msgspec import Struct, field
 
+from hingesill_core.ratelimits.randomadmission import RandomAdmission
 from hingesill_core.ratelimits.service import ServiceLimits
-from hingesill_core.ratelimits.share import FleetShare
 from hingesill_core.routing.availability import Availability
 from hingesill_core.routing.health import Health
-from hingesill_core.routing.messages import SendEnd
+from hingesill_core.routing.messages import SendStatus
 
 __all__ = ["EndpointState", "ServiceView"]
 
@@ -64,7 +64,7 @@
     turns: int = 0
     usual_ratio: float = 1.5
 
-    def note_ratio(self, ratio):
+    def record_ratio(self, ratio):
         """Take how many times longer than expected an answer took."""
         if ratio > self.usual_ratio:
             self.usual_ratio += RATIO_STEP * USUAL_SHARE
@@ -81,7 +81,7 @@
         """
         return max(LEAST_SUSPICIOUS, BEYOND_USUAL * self.usual_ratio)
 
-    def note_report(self, report):
+    def record_report(self, report):
         """Take a report into the mean."""
         others = max(0, report.running - report.own_in_flight)
         self.others += OTHERS_WEIGHT * (others - self.others)
@@ -107,13 +107,13 @@
         Until when it is leaving by the word of others.
     suspicion, suspected_at : float
         What other nodes told of overdue answers, and when it was reckoned.
-    asked_at : float
+    queried_at : float
         When it was last asked for its load.
     region : str
         Where it runs; empty if that is not known.
     distance : float
         Way to its data centre and back, in typical answers' times.
-    warm_at, warmth_heard_at : float
+    warm_at, warm_up_reported_at : float
         Until when it is cold by its last word, and when that word came.
     entered_warm_in, is_entry_new : float, bool
         Seconds for which it was cold when its entry was written, and whether that
@@ -122,7 +122,7 @@
         When this node last sent there.
     limits : ServiceLimits or None
         Of the service: what its endpoints in need still take.
-    cold_share : FleetShare
+    cold_share : RandomAdmission
         This node's part of what it bears while it is cold.
     """
 
@@ -144,9 +144,9 @@
     cold_since: float | None = None
     last_heard: float | None = None
     last_probe: float = 0.0
-    asked_at: float = float("-inf")
+    queried_at: float = float("-inf")
     warm_at: float = float("-inf")
-    warmth_heard_at: float = float("-inf")
+    warm_up_reported_at: float = float("-inf")
     entered_warm_in: float = 0.0
     is_entry_new: bool = False
     last_send_at: float = float("-inf")
@@ -154,7 +154,7 @@
     reach: Health = field(default_factory=build_reach)
     born: int = 0
     limits: ServiceLimits | None = None
-    cold_share: FleetShare = field(default_factory=FleetShare)
+    cold_share: RandomAdmission = field(default_factory=RandomAdmission)
 
     @property
     def in_flight(self):
@@ -169,15 +169,15 @@
             self.limits.use(self.identity, now)
         self.common.turns += 1
         self.turn = self.common.turns
-        if self.health.needs_trial(now):
-            self.health.on_trial = True
+        if self.health.is_trial_due(now):
+            self.health.trial_in_flight = True
 
-    def note_warmth(self, warm_in, now):
+    def record_warm_up(self, warm_in, now):
         """Take its own word on how long it stays cold, in seconds."""
         self.warm_at = now + warm_in
-        self.warmth_heard_at = now
+        self.warm_up_reported_at = now
 
-    def note_entry(self, warm_in):
+    def record_entry(self, warm_in):
         """Take what its entry says of its warmth, in seconds from the entry's write."""
         if warm_in != self.entered_warm_in:
             self.entered_warm_in = warm_in
@@ -201,17 +201,17 @@
         """
         if result.report is not None:
             self.report = result.report
-            self.common.note_report(result.report)
+            self.common.record_report(result.report)
             self.last_heard = now
         ratio = min(MOST_SLOWNESS, seconds / expected)
-        if result.end is SendEnd.ANSWERED:
+        if result.end is SendStatus.ANSWERED:
             self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
-            self.common.note_ratio(ratio)
+            self.common.record_ratio(ratio)
             self.last_heard = now
-        elif result.end is SendEnd.CANCELLED and ratio > self.slowness:
+        elif result.end is SendStatus.CANCELLED and ratio > self.slowness:
             self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
-        elif result.end is SendEnd.REFUSED:
-            self.availability.note_rest(REFUSED_PAUSE, now)
+        elif result.end is SendStatus.REFUSED:
+            self.availability.record_backoff(REFUSED_PAUSE, now)
 
     def has_place(self, ticket, now):
         """Tell whether a request may be sent there now.
@@ -239,7 +239,7 @@
 
     def accepts_trial(self, ticket, now):
         """Tell whether a request may try an endpoint that was ejected."""
-        if not self.health.needs_trial(now):
+        if not self.health.is_trial_due(now):
             return False
         waited = now - self.health.ejected_until
         return ticket.route.repeatable or waited > WAIT_FOR_REPEATABLE
@@ -285,7 +285,7 @@
         oldest = next(iter(self.sent))
         return (now - oldest.started) / oldest.expected
 
-    def note_suspicion(self, ratio, now):
+    def record_suspicion(self, ratio, now):
         """Add another node's word on an answer that takes long.
 
         Notes
--- a/packages/hingesill-core/hingesill_core/routing/tests/playednode.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/simulatednode.py
@@ -4,23 +4,23 @@
 
 from msgspec import Struct, field
 
-from hingesill_core.limits.asking import AskBudget
-from hingesill_core.limits.spent import SpentTime
+from hingesill_core.limits.elapsedtime import ElapsedTimeEstimator
+from hingesill_core.limits.querybudget import QueryBudget
 from hingesill_core.ratelimits.fleet import FleetLimits
-from hingesill_core.routing.asking import Ask, Reply
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.fleetview import FleetView
+from hingesill_core.routing.loadqueries import LoadQuery, LoadReply
 from hingesill_core.routing.messages import (
     Refusal,
     Send,
-    SendEnd,
     SendResult,
+    SendStatus,
     Ticket,
 )
-from hingesill_core.routing.tests.loads import Request
-from hingesill_core.routing.tests.playedendpoint import DATA_CENTRES
+from hingesill_core.routing.tests.simulatedendpoint import DATA_CENTRES
+from hingesill_core.routing.tests.workloads import Request
 
-__all__ = ["PlayedNode"]
+__all__ = ["SimulatedNode"]
 
 PROBE_SECONDS = 0.001
 ROUND_SECONDS = 0.015
@@ -36,7 +36,7 @@
     is_open: bool = True
 
 
-class PlayedNode:
+class SimulatedNode:
     """A node: its dispatcher, and what its green threads would do."""
 
     def __init__(self, play, number):
@@ -50,9 +50,9 @@
             self.fleet_limits = FleetLimits(random.Random(number))
         limits = self.fleet_limits and self.fleet_limits.get(play.service.name)
         self.dispatcher = Dispatcher(
-            play.service, fleet, rng, AskBudget(), limits=limits
+            play.service, fleet, rng, QueryBudget(), limits=limits
         )
-        self.spent = SpentTime()
+        self.elapsed = ElapsedTimeEstimator()
         self.attempts = {}
         self.is_ticking = False
         self.is_alive = True
@@ -67,15 +67,15 @@
         now = self.play.now
         route = request.kind.route
         left = request.deadline - now
-        spent = self.spent.estimate(route, left, now)
+        elapsed = self.elapsed.estimate(route, left, now)
         deadline = now + min(left, route.timeout)
-        ticket = Ticket(route, now, deadline, spent=spent)
+        ticket = Ticket(route, now, deadline, elapsed=elapsed)
         attempt = self.attempts[ticket] = Attempt(request, ticket)
         self.play.after(deadline - now, self._expire, attempt)
         self._act(attempt, self.dispatcher.submit(ticket, now))
 
     def _act(self, attempt, decision):
-        if isinstance(decision, Ask):
+        if isinstance(decision, LoadQuery):
             self._ask(decision)
         elif isinstance(decision, Refusal):
             self._refuse(attempt, decision)
@@ -92,9 +92,9 @@
             self.play.after(ROUND_SECONDS, self._tick)
 
     def _look_at(self, endpoint, way):
-        reply = Reply(
+        reply = LoadReply(
             endpoint.identity,
-            SendEnd.ANSWERED,
+            SendStatus.ANSWERED,
             endpoint.report(),
             endpoint.get_warm_in(),
             endpoint.is_unhealthy(),
@@ -122,7 +122,7 @@
                 self.dispatcher.hedging.end(ticket)
             else:
                 self._act(attempt, decision)
-        ask = binding.ask_again(now)
+        ask = binding.next_query(now)
         self.is_ticking = bool(binding.waiting)
         if ask is not None:
             self.is_ticking = True
@@ -147,7 +147,7 @@
         hedging = self.dispatcher.hedging
         now = self.play.now
         decision = hedging.start(attempt.ticket, now)
-        if isinstance(decision, Ask):
+        if isinstance(decision, LoadQuery):
             self._ask(decision)
         elif isinstance(decision, Send):
             self._start(attempt, decision)
@@ -163,30 +163,30 @@
         attempt.live.remove(send)
         now = self.play.now
         named = self.play.endpoints[send.endpoint].name_limit()
-        self.dispatcher.note_limit(send, named, now)
+        self.dispatcher.record_limit(send, named, now)
         self.dispatcher.settle(send, result, now)
-        if result.end is SendEnd.ANSWERED:
+        if result.end is SendStatus.ANSWERED:
             self._close(attempt)
             self.play.answer(attempt.request)
-            self._take(Reply(send.endpoint, SendEnd.ANSWERED, result.report))
+            self._take(LoadReply(send.endpoint, SendStatus.ANSWERED, result.report))
         elif not attempt.live:
             self.dispatcher.binding.leave(attempt.ticket)
             decision, _ = self.dispatcher.retry(attempt.ticket, result.end, now)
             self._act(attempt, decision)
 
     def _refuse(self, attempt, refusal):
-        self.spent.note_unserved(self.play.now)
+        self.elapsed.record_unserved(self.play.now)
         self._close(attempt)
         self.play.refuse(attempt, refusal)
 
     def _expire(self, attempt):
         """End a try whose time is over."""
         if self.is_alive and attempt.is_open:
-            self.spent.note_unserved(self.play.now)
-            self._close(attempt, SendEnd.LATE)
+            self.elapsed.record_unserved(self.play.now)
+            self._close(attempt, SendStatus.LATE)
             self.play.refuse(attempt, None)
 
-    def _close(self, attempt, end=SendEnd.CANCELLED):
+    def _close(self, attempt, end=SendStatus.CANCELLED):
         """Cancel what is still under way."""
         attempt.is_open = False
         self.dispatcher.binding.leave(attempt.ticket)
--- a/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/tests/test_warmup.py
@@ -5,12 +5,12 @@
 
 from msgspec.structs import replace
 
-from hingesill_core.routing.asking import Reply
 from hingesill_core.routing.dispatcher import Dispatcher
 from hingesill_core.routing.endpoint_state import EndpointState
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.load_report import LoadReport
-from hingesill_core.routing.messages import Send, SendEnd, SendResult, Ticket
+from hingesill_core.routing.loadqueries import LoadReply
+from hingesill_core.routing.messages import Send, SendResult, SendStatus, Ticket
 from hingesill_core.routing.tests.test_latebinding import ROUTE, build_service
 from hingesill_core.routing.warmup import WORD_HOLDS, WarmUpLimit
 
@@ -20,7 +20,7 @@
 
 def reply(endpoint, running, warm_in):
     report = LoadReport(running, 0.0, 0, 2)
-    return Reply(endpoint, SendEnd.ANSWERED, report, warm_in)
+    return LoadReply(endpoint, SendStatus.ANSWERED, report, warm_in)
 
 
 class WarmUpTests(unittest.TestCase):
@@ -52,7 +52,9 @@
             send = self.binding.take(reply("i1", 0, 5.0), now + 0.03)
             if send is not None:
                 sent += 1
-                self.dispatcher.settle(send, SendResult(SendEnd.ANSWERED), now + 0.03)
+                self.dispatcher.settle(
+                    send, SendResult(SendStatus.ANSWERED), now + 0.03
+                )
         self.assertIn(sent, range(1, 7))
 
     def test_an_answer_does_not_tell_that_it_is_warm(self):
@@ -84,18 +86,18 @@
         limits = [WarmUpLimit(rate=RATE, nodes=self.NODES) for _ in range(self.NODES)]
         states = [EndpointState("i1") for _ in limits]
         for state in states:
-            state.note_entry(self.SECONDS)
+            state.record_entry(self.SECONDS)
         times = []
         for turn in range(int(self.SECONDS * 100)):
             now = 1.0 + turn * 0.01
             for limit, state in zip(limits, states):
-                if limit.allows_unasked(state, now, rng):
+                if limit.allows_without_query(state, now, rng):
                     times.append(now)
         worst = max(sum(at <= t < at + 1.0 for t in times) for at in times)
         self.assertLessEqual(worst, RATE * 1.5 + 8.0)
         self.assertGreater(len(times), 0.5 * RATE * self.SECONDS)
         late = 1.0 + self.SECONDS + 0.1
-        self.assertTrue(limits[0].allows_unasked(states[0], late, rng))
+        self.assertTrue(limits[0].allows_without_query(states[0], late, rng))
 
 
 class RestTests(unittest.TestCase):
@@ -138,10 +140,10 @@
         while now < self.SECONDS:
             now += rng.expovariate(questions * self.ENDPOINTS)
             number = rng.randrange(nodes)
-            limits[number].note_questions(1, now)
+            limits[number].record_queries(1, now)
             if rng.randrange(self.ENDPOINTS):
                 continue
-            states[number].note_warmth(1.0, now)
+            states[number].record_warm_up(1.0, now)
             if limits[number].allows(states[number], 0, now, rng):
                 states[number].last_send_at = now
                 sent.append(now)
--- a/packages/hingesill-core/hingesill_core/routing/warmup.py
+++ b/packages/hingesill-core/hingesill_core/routing/warmup.py
@@ -62,7 +62,7 @@
         self.nodes = max(1, fleet.nodes)
         self.endpoints = max(1, len(service.endpoints))
 
-    def note_questions(self, count, now):
+    def record_queries(self, count, now):
         """Take note of questions that this node asks."""
         self.questions = self._count_questions(now) + count
         self.counted_at = now
@@ -75,7 +75,7 @@
         """Tell whether an endpoint is cold, or may be as it did not tell for long."""
         if not self.rate:
             return False
-        return now < state.warm_at or now - state.warmth_heard_at > WORD_HOLDS
+        return now < state.warm_at or now - state.warm_up_reported_at > WORD_HOLDS
 
     def allows(self, state, running, now, rng):
         """Tell whether this node may send to an endpoint that just told its load.
@@ -102,7 +102,7 @@
         own = self._count_questions(now) / self.endpoints / COUNTED_SECONDS
         return min(1.0, USED_SHARE * self.rate / (self.nodes * max(own, LEAST_OWN)))
 
-    def allows_unasked(self, state, now, rng):
+    def allows_without_query(self, state, now, rng):
         """Tell whether this node may send to an endpoint that tells no load.
 
         Notes
@@ -114,7 +114,7 @@
             return True
         if state.is_entry_new:
             state.is_entry_new = False
-            state.note_warmth(state.entered_warm_in, now)
+            state.record_warm_up(state.entered_warm_in, now)
         if now >= state.warm_at:
             return True
         return state.cold_share.take(self.rate, self.nodes, now, rng)
--- a/packages/hingesill-node/hingesill_node/crashes/requestguard.py
+++ b/packages/hingesill-node/hingesill_node/crashes/requestguard.py
@@ -2,11 +2,11 @@
 
 import random
 
-from hingesill_core.crashes.guard import CrashGuard, HoldBegun
+from hingesill_core.crashes.guard import CrashGuard, QuarantineStarted
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.routing.messages import Refusal
 from hingesill_node.clocks import read_boot_time
-from hingesill_node.crashes.endings import EndingChecks
+from hingesill_node.crashes.crashchecks import CrashChecks
 from hingesill_node.telemetry.events import Event, log_event
 
 __all__ = ["RequestGuard"]
@@ -31,7 +31,7 @@
     def __init__(self, clock=read_boot_time, rng=None):
         self.clock = clock
         self.decisions = CrashGuard(rng or random.Random(), log_change)
-        self._checks = EndingChecks(self._note_endings)
+        self._checks = CrashChecks(self._note_endings)
 
     def find_refusal(self, request, may_have_run=False):
         """Return the Refusal of a request that must not be sent, or None.
@@ -46,7 +46,7 @@
         if not self.decisions.quarantine:
             return None
         now = self.clock()
-        held = self.decisions.find_hold(request.fingerprints, now)
+        held = self.decisions.find_quarantine(request.fingerprints, now)
         if held is None:
             return None
         outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
@@ -74,24 +74,24 @@
             request.fingerprints, self.clock(), pending
         )
 
-    def note_lost(self, request, endpoint, address):
+    def handle_lost_response(self, request, endpoint, address):
         """Have it found out whether an endpoint ended while it had a request."""
         self._checks.begin(endpoint, address, request.fingerprints)
 
-    def note_answer(self, request):
+    def record_answer(self, request):
         """Take that an endpoint answered a request."""
         if not self.decisions.is_idle:
-            self.decisions.note_answer(request.fingerprints, self.clock())
+            self.decisions.record_answer(request.fingerprints, self.clock())
 
     def _note_endings(self, endpoint, requests):
         now = self.clock()
         for fingerprints in sorted(requests):
-            self.decisions.note_ending(fingerprints, endpoint, now)
+            self.decisions.record_crash(fingerprints, endpoint, now)
 
 
 def log_change(change):
     """Write a line for a hold that begins or ends."""
-    if not isinstance(change, HoldBegun):
+    if not isinstance(change, QuarantineStarted):
         log_event(Event.HOLD_ENDED, fingerprint=change.fingerprint, cause=change.reason)
         return
     request = change.request
--- a/packages/hingesill-node/hingesill_node/datapath/prober.py
+++ b/packages/hingesill-node/hingesill_node/datapath/prober.py
@@ -2,9 +2,9 @@
 
 import eventlet
 
-from hingesill_core.probing.pace import ProbePacer, compute_pace
-from hingesill_core.probing.planner import choose_probe
-from hingesill_core.routing.messages import SendEnd, SendResult
+from hingesill_core.probing.proberate import ProbeRateLimiter, compute_probe_rate
+from hingesill_core.probing.probetarget import choose_probe_target
+from hingesill_core.routing.messages import SendResult, SendStatus
 from hingesill_node.clocks import read_boot_time
 from hingesill_node.datapath.connections import ConnectFailed, EndpointConnection
 from hingesill_node.datapath.messages import LiveSend
@@ -48,16 +48,16 @@
         for name, runner in list(self.runners.runners.items()):
             service = runner.dispatcher.service
             slots = sum(endpoint.slots for endpoint in service.endpoints)
-            pace = compute_pace(service.probes, slots)
+            pace = compute_probe_rate(service.probes, slots)
             if pace is None:
                 continue
-            address = choose_probe(runner.dispatcher, runner.clock())
+            address = choose_probe_target(runner.dispatcher, runner.clock())
             if address is not None and self._is_due(name, pace):
                 eventlet.spawn(self._probe, name, runner, address, pace)
 
     def _is_due(self, name, pace):
         """Tell whether a probe is likely to be allowed, before connecting."""
-        pacer = self._pacers.setdefault(name, ProbePacer())
+        pacer = self._pacers.setdefault(name, ProbeRateLimiter())
         share = self.blackboard.probe_share
         now = read_boot_time()
         return now >= max(pacer.next_at, share.acquired_at + pace.interval)
@@ -69,13 +69,13 @@
             connection.set_time_limit(ANSWER_SECONDS)
             result = self._send(name, runner, address, pace, connection)
         except ConnectFailed:
-            result = SendResult(SendEnd.CONNECT_FAILED)
+            result = SendResult(SendStatus.CONNECT_FAILED)
         except TRANSPORT_ERRORS:
-            result = SendResult(SendEnd.LOST)
+            result = SendResult(SendStatus.LOST)
         finally:
             connection.close()
         if result is not None:
-            runner.dispatcher.note_probe(address, result, runner.clock())
+            runner.dispatcher.record_probe(address, result, runner.clock())
 
     def _send(self, name, runner, address, pace, connection):
         """Send and return what came, or None if the budget does not allow it.
@@ -91,7 +91,7 @@
         share = self.blackboard.probe_share
         pacer = self._pacers[name]
         state = runner.dispatcher.states.get(address)
-        if state is None or state.availability.is_resting(runner.clock()):
+        if state is None or state.availability.is_backing_off(runner.clock()):
             return None
         if share is None or not pacer.take(share, pace, read_boot_time()):
             return None
--- a/packages/hingesill-node/hingesill_node/datapath/runner.py
+++ b/packages/hingesill-node/hingesill_node/datapath/runner.py
@@ -8,11 +8,11 @@
 from hingesill_core.limits.shares import compute_connection_share
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.routing.dispatcher import Dispatcher
-from hingesill_core.routing.messages import Refusal, SendEnd, SendResult
+from hingesill_core.routing.messages import Refusal, SendResult, SendStatus
 from hingesill_node.crashes.requestguard import RequestGuard
-from hingesill_node.datapath.asking import WaitingRoom
 from hingesill_node.datapath.callers import is_caller_gone
 from hingesill_node.datapath.connections import Pool
+from hingesill_node.datapath.loadqueries import WaitingRoom
 from hingesill_node.telemetry.events import Event, log_event
 
 __all__ = ["ServiceRunner"]
@@ -37,9 +37,9 @@
         For the dispatcher.
     announce : Announcements
         Told of endpoints that leave and of overdue answers.
-    ask_pool : AskBudget or None
+    query_pool : QueryBudget or None
         Shared with other services of the node.
-    curves : SlotCurves or None
+    curves : LatencyCurves or None
         Of all services of the node.
     clock : callable
         Monotonic seconds.
@@ -47,7 +47,7 @@
         Knows which requests must not be sent; shared by all services.
     limits : ServiceLimits or None
         What the service's endpoints in need still take.
-    availabilities : AvailabilityBook or None
+    availabilities : AvailabilityRegistry or None
         Of all endpoints' lives that the node knows.
     """
 
@@ -57,7 +57,7 @@
         fleet,
         rng,
         announce,
-        ask_pool=None,
+        query_pool=None,
         curves=None,
         clock=time.monotonic,
         guard=None,
@@ -66,7 +66,7 @@
     ):
         self.guard = guard or RequestGuard()
         self.dispatcher = Dispatcher(
-            service, fleet, rng, ask_pool, curves, limits, availabilities
+            service, fleet, rng, query_pool, curves, limits, availabilities
         )
         self._complain_from = 0.0
         self.announce = announce
@@ -141,7 +141,7 @@
         if self.held:
             self.pump()
 
-    def note_head(self, send, result):
+    def record_head(self, send, result):
         """Take what an answer's head says on further requests, before its body comes.
 
         Parameters
@@ -152,17 +152,17 @@
             Read from the head.
         """
         now = self.clock()
-        limit, rest = result.limit, result.rest
-        if limit is not None and not limit.is_readable:
+        limit, backoff = result.limit, result.backoff
+        if limit is not None and not limit.is_valid:
             self._complain(Event.LIMIT_INVALID, send.endpoint, now)
-        if not rest.is_readable:
+        if not backoff.is_valid:
             self._complain(Event.REST_INVALID, send.endpoint, now)
-        self.dispatcher.note_limit(send, limit, now)
-        self.dispatcher.openings.note(
-            send.endpoint, send.born, rest, result.leaving, now
+        self.dispatcher.record_limit(send, limit, now)
+        self.dispatcher.service_availability.note(
+            send.endpoint, send.born, backoff, result.leaving, now
         )
         if result.leaving:
-            self.announce.tell_drain(send.endpoint)
+            self.announce.announce_drain(send.endpoint)
             self._close_idle(send)
 
     def _close_idle(self, send):
@@ -180,13 +180,13 @@
     def give_back(self, send, connection):
         """Leave an endpoint that was found for a send as it is."""
         pool = self.find_pool(send.endpoint)
-        self.settle(send, SendResult(SendEnd.CANCELLED))
+        self.settle(send, SendResult(SendStatus.CANCELLED))
         if connection is not None and pool is not None:
             pool.give_back(connection)
 
     def get_time_to_suspicion(self, send, now):
         """Return the seconds until an answer takes suspiciously long."""
-        if not self.announce.is_heard:
+        if not self.announce.is_connected:
             return float("inf")
         ratio = self.dispatcher.view.get_suspicious_ratio()
         left = send.started + ratio * send.expected - now
@@ -194,12 +194,12 @@
 
     def suspect(self, send, now):
         """Tell other nodes of an answer that takes far longer than typical."""
-        if not self.announce.is_heard:
+        if not self.announce.is_connected:
             return
         ratio = (now - send.started) / send.expected
         if ratio < self.dispatcher.view.get_suspicious_ratio():
             return
-        self.announce.tell_suspicion(send.endpoint, ratio, now)
+        self.announce.announce_suspicion(send.endpoint, ratio, now)
 
     def pump(self):
         """Wake the held requests that can go now."""
--- a/packages/hingesill-node/hingesill_node/datapath/tests/test_asking.py
+++ b/packages/hingesill-node/hingesill_node/datapath/tests/test_loadqueries.py
@@ -13,10 +13,10 @@
     SendBudget,
     Service,
 )
-from hingesill_core.routing.asking import Ask
 from hingesill_core.routing.fleetview import FleetView
 from hingesill_core.routing.load_report import LoadReport
-from hingesill_core.routing.messages import Send, SendEnd, SendResult, Ticket
+from hingesill_core.routing.loadqueries import LoadQuery
+from hingesill_core.routing.messages import Send, SendResult, SendStatus, Ticket
 from hingesill_node.datapath.hedges import AskedHedge
 from hingesill_node.datapath.messages import Body, CallerRequest
 from hingesill_node.datapath.responses import EndpointResponse
@@ -28,9 +28,9 @@
 
 
 class NoAnnouncements:
-    is_heard = False
+    is_connected = False
 
-    def tell_drain(self, endpoint):
+    def announce_drain(self, endpoint):
         pass
 
 
@@ -111,19 +111,19 @@
 
     def test_its_rest_counts_though_it_does_not_name_the_endpoint(self):
         state = self.ask()
-        self.assertTrue(state.availability.is_resting(self.runner.clock()))
+        self.assertTrue(state.availability.is_backing_off(self.runner.clock()))
         self.assertEqual(state.reach.consecutive, 0)
 
     def test_that_of_another_endpoint_does_not(self):
         state = self.ask(named="i2")
-        self.assertFalse(state.availability.is_resting(self.runner.clock()))
+        self.assertFalse(state.availability.is_backing_off(self.runner.clock()))
         self.assertEqual(state.reach.consecutive, 1)
 
 
 class WaitingRoomTests(RoomTestCase):
     def wait(self):
         self.runner.dispatcher.submit(self.ticket, self.runner.clock())
-        waiting = eventlet.spawn(self.room.wait, self.request, Ask(()))
+        waiting = eventlet.spawn(self.room.wait, self.request, LoadQuery(()))
         eventlet.sleep(0)
         return waiting
 
@@ -132,7 +132,7 @@
         state = self.runner.dispatcher.states["i1"]
         now = self.runner.clock()
         send = self.runner.dispatcher.start_send(other, state, now)
-        result = SendResult(SendEnd.ANSWERED, self.report(running))
+        result = SendResult(SendStatus.ANSWERED, self.report(running))
         self.runner.settle(send, result)
 
     def test_the_slot_that_an_answer_frees_goes_to_who_waits(self):
@@ -187,8 +187,8 @@
 
     def start(self):
         ask = self.dispatcher.hedging.start(self.ticket, self.runner.clock())
-        self.assertIsInstance(ask, Ask)
-        thread = eventlet.spawn(self.hedge.run, Ask(()))
+        self.assertIsInstance(ask, LoadQuery)
+        thread = eventlet.spawn(self.hedge.run, LoadQuery(()))
         eventlet.sleep(0)
         return thread
 
--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
@@ -154,7 +154,7 @@
         self.assertEqual(sorted(self.follower.directory.endpoints), ["i1", "i2"])
 
     def test_what_a_relay_saw_of_an_outage_is_passed_on(self):
-        self.relay.follower.directory.note_return(time.monotonic() - 1.0)
+        self.relay.follower.directory.record_return(time.monotonic() - 1.0)
         self.start()
         age = self.follower.directory.get_return_age(time.monotonic())
         self.assertAlmostEqual(age, 1.0, delta=0.5)
@@ -192,7 +192,7 @@
     def report(self, relay):
         Reporter(lambda: relay, self).report()
 
-    def take_news(self, only_urgent):
+    def take_unreported(self, only_urgent):
         return self.news.pop()
 
     def test_a_relay_takes_what_a_follower_has_learnt(self):
@@ -332,7 +332,7 @@
         self.start()
         self.wait_for(1, 1.0)
         eventlet.sleep(4.0)
-        self.assertFalse(self.follower.store_answers)
+        self.assertFalse(self.follower.is_store_available)
         self.source.reads.append(self.read(9, 4))
         self.wait_for(4, 2.5)
 
--- a/packages/hingesill-node/hingesill_node/explanation.py
+++ b/packages/hingesill-node/hingesill_node/explanation.py
@@ -48,7 +48,7 @@
                 endpoint=state.identity,
                 eligible=not reason,
                 reason=reason,
-                score_ms=state.estimate_wait(now) * dispatcher.pace.typical * 1000,
+                score_ms=state.estimate_wait(now) * dispatcher.pace.median * 1000,
                 in_flight=state.in_flight,
                 reported_load=state.estimate_others(now),
             )
@@ -64,7 +64,7 @@
         return "it was ejected after failures"
     if not state.health.is_open():
         return "it awaits a trial"
-    if state.availability.is_resting(now):
+    if state.availability.is_backing_off(now):
         return "it asked for a rest"
     if state.in_flight >= state.send_limit:
         return "this node's places there are taken"
--- a/packages/hingesill-node/hingesill_node/node.py
+++ b/packages/hingesill-node/hingesill_node/node.py
@@ -47,10 +47,10 @@
     def start(self, runners):
         """Begin to work; return what is wrong, or an empty text."""
 
-    def is_settled(self):
+    def is_initialized(self):
         """Tell whether what is known suffices to serve."""
 
-    def is_heard(self):
+    def is_connected(self):
         """Tell whether the store or another node answers."""
 
     def get_confirmed_age(self):
@@ -117,7 +117,7 @@
             "in_flight": self.blackboard.in_flight,
             "held": self.runners.count_held(),
             "limited_endpoints": self.runners.limits.count_limited(),
-            "resting_endpoints": availabilities.count_resting(now),
+            "resting_endpoints": availabilities.count_backing_off(now),
             "leaving_endpoints": availabilities.count_leaving(now),
             "quarantined": len(self.runners.guard.decisions.quarantine),
             "revision": self.blackboard.configuration.revision,
@@ -157,7 +157,7 @@
     def _wait_for_configuration(self, clock=time.monotonic):
         """Leave callers in the accept queue until their requests can be served."""
         until = clock() + FIRST_READ_SECONDS
-        while not self.control.is_settled() and clock() < until:
+        while not self.control.is_initialized() and clock() < until:
             eventlet.sleep(FIRST_READ_PAUSE)
 
     def _build_admin(self):
--- a/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
+++ b/packages/hingesill-node/hingesill_node/ratelimits/exchange.py
@@ -11,7 +11,7 @@
 
 # Interval of gossip rounds, in seconds. Each goes to two nodes, so that limits cost a
 # node at most four datagrams a second besides its grant requests.
-ROUND_SECONDS = 0.5
+GOSSIP_INTERVAL_SECONDS = 0.5
 # Interval of log lines on invalid datagrams, in seconds.
 COMPLAINT_SECONDS = 5.0
 
@@ -73,7 +73,7 @@
             return
         self.counters.add("limits", "heard")
         now = self.runners.clock()
-        if now - self._noted_at > ROUND_SECONDS:
+        if now - self._noted_at > GOSSIP_INTERVAL_SECONDS:
             self._note_nodes()
         self.limits.take(message, sender, now)
 
@@ -93,11 +93,11 @@
 
     def _work(self):
         while True:
-            eventlet.sleep(ROUND_SECONDS * random.uniform(0.8, 1.2))
+            eventlet.sleep(GOSSIP_INTERVAL_SECONDS * random.uniform(0.8, 1.2))
             if self.limits.is_starting or self.limits.count_limited():
                 self._note_nodes()
             now = self.runners.clock()
-            self.limits.tell(now)
+            self.limits.run_gossip_round(now)
             self._ask_endpoints(now)
 
     def _ask_endpoints(self, now):
@@ -110,23 +110,23 @@
         """
         for limits in list(self.limits.services.values()):
             if limits.limited and limits.is_in_health and limits.is_first():
-                self.runners.look_at(limits.name, limits.list_unheard(now))
+                self.runners.query_load(limits.name, limits.list_stale(now))
 
 
 def log_limit(change):
     """Write a line for an endpoint's limit that begins, changes or ends."""
-    word = change.word
+    report = change.report
     event = Event.LIMIT_CHANGED
-    if word.per_second is None:
+    if report.per_second is None:
         event = Event.LIMIT_ENDED
     elif change.before is None:
         event = Event.LIMIT_BEGUN
     log_event(
         event,
         service=change.service,
-        endpoint=word.endpoint,
-        born=word.born,
-        per_second=word.per_second,
+        endpoint=report.endpoint,
+        born=report.born,
+        per_second=report.per_second,
         before=change.before,
         source=change.source,
     )
