--- a/packages/hingesill-node/hingesill_node/datapath/application.py
+++ b/packages/hingesill-node/hingesill_node/datapath/application.py
@@ -107,7 +107,7 @@
         refused = isinstance(answer, Refusal)
         target = ticket.route.target or ticket.route.timeout
         if not refused:
-            self.counters.latencies[service].note(seconds)
+            self.counters.latencies[service].record(seconds)
         plain = not refused and ticket.sends <= 1 and seconds <= target
         log_event(
             Event.REQUEST_ANSWERED if plain else Event.REQUEST_IN_TROUBLE,
--- a/packages/hingesill-node/hingesill_node/telemetry/__init__.py
+++ b/packages/hingesill-node/hingesill_node/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Counters, numbered log events and the address where both are seen."""
+"""Counters, metrics and numbered log events."""
--- a/packages/hingesill-node/hingesill_node/telemetry/counters.py
+++ b/packages/hingesill-node/hingesill_node/telemetry/counters.py
@@ -1,7 +1,7 @@
-"""Counters of everything that was answered, refused and sent again.
+"""Counters of requests, refusals, sends and messages, and latency histograms.
 
-The request path adds to plain integers; OpenTelemetry reads them when it is
-asked, so that a request pays for no exporter.
+The request path adds to plain integers. OpenTelemetry reads them only when metrics
+are collected, so that requests bear no cost of an exporter.
 """
 
 from bisect import bisect_left
@@ -39,44 +39,47 @@
 }
 
 
-# Upper bounds of the buckets of answers' times, in seconds; targets of the
-# users' routes lie between 0.2 and 1.
+# Upper bounds of the latency histogram's buckets, in seconds. The latency targets of
+# users' routes lie between 0.2 and 1 s.
 LATENCY_BOUNDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1.0, 2.0, 5.0)
 
 
 class Latencies:
-    """How long the answers of one service took, in buckets."""
+    """Latency histogram of the answers of one service."""
 
     def __init__(self):
         self.buckets = [0] * (len(LATENCY_BOUNDS) + 1)
         self.total = 0.0
 
-    def note(self, seconds):
-        """Take one answer."""
+    def record(self, seconds):
+        """Add the latency of one answer."""
         self.buckets[bisect_left(LATENCY_BOUNDS, seconds)] += 1
         self.total += seconds
 
 
 class Counters:
-    """Counts by (counter, service or kind, reason), and answers' times."""
+    """Counts by (counter, subject, reason), and latency histograms by service.
+
+    The subject is a service or a kind of message.
+    """
 
     def __init__(self):
         self.counts = Counter()
         self.latencies = defaultdict(Latencies)
 
     def add(self, name, subject, reason="", amount=1):
-        """Add to one count; safe between threads under the interpreter's lock."""
+        """Add to one count; thread-safe because of the global interpreter lock."""
         self.counts[(name, subject, reason)] += amount
 
     def sum_by_name(self):
-        """Return the totals by counter and reason, for a status."""
+        """Return the totals by counter and reason, for a status report."""
         totals = Counter()
         for (name, _, reason), amount in list(self.counts.items()):
             totals[f"{name}.{reason}" if reason else name] += amount
         return dict(totals)
 
     def list_counts(self, name):
-        """Return (subject, reason, amount) of each count of one counter."""
+        """Return (subject, reason, amount) for each count of one counter."""
         return [
             (subject, reason, amount)
             for (counter, subject, reason), amount in list(self.counts.items())
--- a/packages/hingesill-node/hingesill_node/telemetry/metrics.py
+++ b/packages/hingesill-node/hingesill_node/telemetry/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and gauges as OpenTelemetry instruments, for who asks for them.
+"""Counters and gauges as OpenTelemetry instruments.
 
-Loaded on the first request for metrics: the libraries take memory and time at
-the start of a process that many nodes never need.
+Loaded on the first request for metrics: the libraries need memory and start-up time,
+and many nodes are never asked for metrics.
 """
 
 from itertools import accumulate
@@ -22,20 +22,20 @@
 
 
 class LatencyCollector:
-    """Shows the answers' times as a histogram a service.
+    """Exports the latency of answers as one histogram per service.
 
     Parameters
     ----------
     counters : Counters
-        Read on each collection. OpenTelemetry's own histograms take each value
-        at once, which would load its libraries into every process.
+        Read on each collection. OpenTelemetry's own histograms need each value as
+        it occurs, which would load its libraries into every process.
     """
 
     def __init__(self, counters):
         self.counters = counters
 
     def collect(self):
-        """Yield the histograms."""
+        """Yield the histogram family."""
         family = HistogramMetricFamily(
             "hingesill_latency_seconds", "Times of answers.", labels=["service"]
         )
@@ -60,7 +60,7 @@
     counters : Counters
         Read on each collection.
     gauges : callable
-        Returns the current value by gauge name.
+        Returns the current values by gauge name.
     """
     provider = MeterProvider(metric_readers=[PrometheusMetricReader()])
     meter = provider.get_meter("hingesill")
--- a/packages/hingesill-node/hingesill_node/telemetry/tests/test_metrics.py
+++ b/packages/hingesill-node/hingesill_node/telemetry/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics as they are shown."""
+"""Tests of exported metrics."""
 
 import unittest
 
@@ -7,10 +7,10 @@
 
 
 class LatencyTests(unittest.TestCase):
-    def test_buckets_add_up(self):
+    def test_buckets_are_cumulative(self):
         counters = Counters()
         for seconds in (0.004, 0.06, 0.06, 9.0):
-            counters.latencies["arena"].note(seconds)
+            counters.latencies["arena"].record(seconds)
         (family,) = LatencyCollector(counters).collect()
         values = {
             sample.labels.get("le"): sample.value
--- a/packages/hingesill-node/hingesill_node/telemetry/tests/test_output.py
+++ b/packages/hingesill-node/hingesill_node/telemetry/tests/test_output.py
@@ -1,4 +1,4 @@
-"""Tests of log lines that never wait for their reader."""
+"""Tests of rate-limited, non-blocking log output."""
 
 import logging
 import os
@@ -6,8 +6,8 @@
 import unittest
 
 from hingesill_node.telemetry.output import (
-    LINES_A_SECOND,
-    ORDINARY_LINES_A_SECOND,
+    MAX_LINES_PER_SECOND,
+    MAX_ROUTINE_LINES_PER_SECOND,
     BoundedHandler,
 )
 
@@ -27,7 +27,7 @@
         if self.reader is not None:
             os.close(self.reader)
 
-    def test_a_reader_that_stands_still_costs_lines_not_time(self):
+    def test_a_stalled_reader_does_not_block_the_writer(self):
         started = time.monotonic()
         for second in range(400):
             self.now = float(second)
@@ -36,29 +36,29 @@
         self.assertLess(time.monotonic() - started, 5.0)
         self.assertGreater(self.handler.dropped, 0)
 
-    def test_failures_are_kept_before_successes(self):
+    def test_routine_lines_do_not_displace_warnings(self):
         for _ in range(1000):
             self.handler.emit(build_record())
         self.handler.emit(build_record(logging.WARNING, "trouble"))
         lines = os.read(self.reader, 1 << 16).decode().splitlines()
-        self.assertEqual(len(lines), ORDINARY_LINES_A_SECOND + 1)
+        self.assertEqual(len(lines), MAX_ROUTINE_LINES_PER_SECOND + 1)
         self.assertEqual(lines[-1], "trouble")
 
-    def test_lines_a_second_are_bounded(self):
+    def test_the_rate_of_lines_is_limited(self):
         for _ in range(1000):
             self.handler.emit(build_record(logging.ERROR))
         lines = os.read(self.reader, 1 << 16).decode().splitlines()
-        self.assertEqual(len(lines), LINES_A_SECOND)
+        self.assertEqual(len(lines), MAX_LINES_PER_SECOND)
 
-    def test_what_was_dropped_is_told_with_the_next_line(self):
-        for _ in range(ORDINARY_LINES_A_SECOND + 5):
+    def test_the_next_line_reports_the_number_of_dropped_lines(self):
+        for _ in range(MAX_ROUTINE_LINES_PER_SECOND + 5):
             self.handler.emit(build_record())
         self.now = 1.0
         record = build_record()
         self.handler.emit(record)
         self.assertEqual(record.dropped, 5)
 
-    def test_a_reader_that_is_gone_does_not_matter(self):
+    def test_a_closed_reader_raises_no_error(self):
         os.close(self.reader)
         self.reader = None
         self.handler.emit(build_record())
