--- a/packages/hingesill-node/hingesill_node/__init__.py
+++ b/packages/hingesill-node/hingesill_node/__init__.py
@@ -1,7 +1,7 @@
-"""A node of hingesill: the shell that runs the decisions over real sockets."""
+"""A node of hingesill: I/O, event loop and life cycle around `hingesill_core`."""
 
 import warnings
 
-# The risk of eventlet's deprecation is weighed in docs/design/eventlet.md; the
-# warning would only repeat it at each start.
+# docs/design/eventlet.md discusses the deprecation of eventlet; the warning would only
+# repeat it at each start.
 warnings.filterwarnings("ignore", message="\\s*Eventlet is deprecated")
--- a/packages/hingesill-node/hingesill_node/admin.py
+++ b/packages/hingesill-node/hingesill_node/admin.py
@@ -1,4 +1,4 @@
-"""The address for the platform: whether the node is ready, and its metrics."""
+"""Admin HTTP endpoint: readiness of the node, and its metrics."""
 
 __all__ = ["AdminApplication"]
 
@@ -6,18 +6,18 @@
 
 
 class AdminApplication:
-    """A WSGI application with the two pages.
+    """WSGI application that serves the readiness and metrics pages.
 
     Parameters
     ----------
     blackboard : Blackboard
-        Tells whether the node is ready.
+        Holds whether the node is ready.
     counters : Counters
-        Shown as metrics.
+        Exported as metrics.
     gauges : callable
-        Returns the current value by gauge name.
+        Returns the current values by gauge name.
     ready_path : str
-        Where the platform's balancer asks.
+        Path that the platform's balancer polls for readiness.
     """
 
     def __init__(self, blackboard, counters, gauges, ready_path):
@@ -28,11 +28,11 @@
         self._provider = None
 
     def __call__(self, environ, start_response):
-        """Answer one request; see PEP 3333."""
+        """Handle one request; see PEP 3333."""
         page = self.pages.get(environ["PATH_INFO"])
         if page is None:
             start_response("404 Not Found", PLAIN)
-            return [f"{', '.join(self.pages)} are here\n".encode()]
+            return [f"not found; available: {', '.join(self.pages)}\n".encode()]
         return page(start_response)
 
     def _show_ready(self, start_response):
@@ -42,7 +42,7 @@
         return [f"{self.blackboard.phase.value}\n".encode()]
 
     def _show_metrics(self, start_response):
-        """Show all counters; the libraries are loaded by the first who asks."""
+        """Return all metrics; the first request loads the libraries."""
         from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 
         from hingesill_node.telemetry.metrics import start_metrics
--- a/packages/hingesill-node/hingesill_node/blackboard.py
+++ b/packages/hingesill-node/hingesill_node/blackboard.py
@@ -1,7 +1,7 @@
-"""The blackboard: what the node's controllers read and write.
+"""Shared state that the node's controllers read and write.
 
-Only the hub's thread touches it. Other threads hand their writes over through
-the `Bridge`.
+Only the hub's thread accesses it. Other threads post their writes through the
+`Bridge`.
 """
 
 from collections import defaultdict
@@ -19,7 +19,7 @@
 
 
 class Phase(str, Enum):
-    """Where the node stands between its start and its end."""
+    """Phase of the node's life cycle."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -28,7 +28,7 @@
 
 
 class Configuration(Struct, frozen=True):
-    """All services in force at a revision, with the table of their routes."""
+    """All services in force at a revision, with their route table."""
 
     revision: int = 0
     services: dict = field(default_factory=dict)
@@ -42,21 +42,21 @@
     Attributes
     ----------
     configuration : Configuration
-        Written by the control thread's publisher.
+        Written by the publisher of the control thread.
     fleet : FleetView
         Written by the membership controller.
     signs : dict
-        Until when each endpoint's drain sign holds, in the node's seconds.
+        Expiry of each endpoint's drain notice, in the node's clock seconds.
     peers : tuple
-        Host and port of other nodes' control addresses, the nearest first.
-    probe_share : Share or None
-        Written by the holder of the lease.
+        Host and port of other nodes' control addresses, nearest first.
+    probe_share : ProbeShare or None
+        Written by the component that holds the lease.
     profile : Profile
-        What nodes have learnt of the services; written by the control.
+        Observations that nodes share about the services; written by the control.
     phase : Phase
-        Written by the life cycle.
+        Written by the `Lifecycle`.
     in_flight : int
-        Requests of callers that have no final answer yet.
+        Number of callers' requests without a final answer.
     """
 
     fleet: FleetView
@@ -70,11 +70,11 @@
     _watchers: dict = field(default_factory=lambda: defaultdict(list))
 
     def watch(self, name, react):
-        """Have a function called after each write of a field."""
+        """Register a function to call after each write of a field."""
         self._watchers[name].append(react)
 
     def write(self, name, value):
-        """Write a field and call those who watch it."""
+        """Write a field and call its watchers."""
         if name not in self.__struct_fields__:
             raise AttributeError(f"the blackboard has no field {name!r}")
         setattr(self, name, value)
@@ -83,5 +83,5 @@
 
     @property
     def is_ready(self):
-        """Whether the platform's balancer should send callers here."""
+        """Return whether the platform's balancer should send callers to this node."""
         return self.phase is Phase.SERVING
--- a/packages/hingesill-node/hingesill_node/bridge.py
+++ b/packages/hingesill-node/hingesill_node/bridge.py
@@ -1,4 +1,7 @@
-"""Handing work from native threads to the hub, where all decisions are made."""
+"""Thread-safe handover of calls from native threads to the hub.
+
+All decisions are made on the hub's thread.
+"""
 
 import os
 from collections import deque
@@ -12,12 +15,12 @@
 
 
 class Bridge:
-    """A queue of calls with a pipe that wakes the hub.
+    """Queue of calls with a pipe that wakes the hub.
 
     Notes
     -----
-    ``post`` may be called from any thread. The calls run one after another in
-    a green thread of the hub.
+    ``post`` may be called from any thread. The calls run one after another in one
+    green thread of the hub.
     """
 
     def __init__(self):
@@ -28,16 +31,16 @@
         self._thread = None
 
     def start(self):
-        """Begin to run calls; called on the hub's thread."""
+        """Start to run calls; called on the hub's thread."""
         self._thread = eventlet.spawn(self._run)
 
     def post(self, call, *arguments):
-        """Have a call made on the hub's thread."""
+        """Schedule a call on the hub's thread."""
         self._calls.append((call, arguments))
         try:
             os.write(self._write_end, b"x")
         except BlockingIOError:
-            pass  # The pipe is full, so the hub is woken in any case.
+            pass  # The pipe is full, so the hub wakes up in any case.
 
     def _run(self):
         while True:
--- a/packages/hingesill-node/hingesill_node/bundle.py
+++ b/packages/hingesill-node/hingesill_node/bundle.py
@@ -1,10 +1,11 @@
-"""The modules of a node's start in one file, found without searching for each.
+"""Import of modules from one bundle file, without a search of the path for each.
 
-A node imports hundreds of modules before it serves, and searching the path for them
-and reading each makes most of a start's calls of the system. A bundle names where each
-module's compiled code lies within one file, which stays open.
+A node imports hundreds of modules before it serves. The search for them in the path
+and the reads make most of the system calls of a start. A bundle is one file, which
+stays open, with an index of the offset of each module's compiled code.
 
-`open_bundle` comes before all other imports; so this module loads nothing else.
+`open_bundle` runs before all other imports, so this module imports no other module of
+the package.
 """
 
 import marshal
@@ -14,105 +15,107 @@
 
 __all__ = ["BundleFinder", "open_bundle", "write_bundle"]
 
-# Bytes of the index's length at the start of the file.
+# Size in bytes of the index length at the start of the file.
 LENGTH_BYTES = 8
 
 
 class BundleFinder:
-    """Finds and loads the modules of a bundle; see `importlib.abc.MetaPathFinder`.
+    """Finder and loader for modules of a bundle; see `importlib.abc.MetaPathFinder`.
 
     Parameters
     ----------
-    number : int
+    descriptor : int
         File descriptor of the bundle.
-    begin : int
-        Where the code begins in it.
+    code_offset : int
+        Offset of the code section in the file.
     index : dict
-        Source file, whether it is a package, whether it runs late, offset and size of
-        the compiled code, by the module's name.
+        Source file, whether it is a package, whether it is loaded lazily, offset and
+        size of the compiled code, by the module's name.
     """
 
-    def __init__(self, number, begin, index):
-        self._number = number
-        self._begin = begin
+    def __init__(self, descriptor, code_offset, index):
+        self._descriptor = descriptor
+        self._code_offset = code_offset
         self._index = index
 
     def find_spec(self, name, path=None, target=None):
-        """Return the spec of a module in the bundle, else None."""
+        """Return the spec of a module in the bundle, or None."""
         entry = self._index.get(name)
         if entry is None:
             return None
-        origin, is_package, is_late, _, _ = entry
-        loader = self._make_late(self) if is_late else self
+        origin, is_package, is_lazy, _, _ = entry
+        loader = self._make_lazy_loader(self) if is_lazy else self
         spec = ModuleSpec(name, loader, origin=origin, is_package=is_package)
         spec.has_location = True
         if is_package:
-            # What the bundle lacks is searched for where the package lies.
+            # Submodules missing from the bundle are searched in the package's folder.
             spec.submodule_search_locations.append(os.path.dirname(origin))
         return spec
 
-    def _make_late(self, loader):
-        """Return a loader that runs a module when something of it is first used."""
-        # Imported here, as what it needs is in the bundle too.
+    def _make_lazy_loader(self, loader):
+        """Return a loader that runs a module on first use of an attribute."""
+        # Imported here, because the modules it needs are also in the bundle.
         from importlib.util import LazyLoader
 
         return LazyLoader(loader)
 
     def create_module(self, spec):
-        """Leave the making of the module to the import system."""
+        """Return None, so that the import system creates the module."""
 
     def exec_module(self, module):
-        """Run the module's code."""
+        """Execute the module's code."""
         _, _, _, offset, size = self._index[module.__spec__.name]
-        code = marshal.loads(os.pread(self._number, size, self._begin + offset))
+        code = marshal.loads(
+            os.pread(self._descriptor, size, self._code_offset + offset)
+        )
         exec(code, module.__dict__)
 
 
 def open_bundle(path):
-    """Import from a bundle from now on.
+    """Install a finder that imports from a bundle.
 
     Returns
     -------
     str
-        Why it is not used; empty if it is.
+        Why the bundle is not used; empty if it is.
     """
     try:
-        number = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
-        length = int.from_bytes(os.pread(number, LENGTH_BYTES, 0), "big")
-        if length > os.fstat(number).st_size:
-            return f"{path}: cut short"
-        version, index = marshal.loads(os.pread(number, length, LENGTH_BYTES))
+        descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
+        length = int.from_bytes(os.pread(descriptor, LENGTH_BYTES, 0), "big")
+        if length > os.fstat(descriptor).st_size:
+            return f"{path}: the file is truncated"
+        version, index = marshal.loads(os.pread(descriptor, length, LENGTH_BYTES))
     except (OSError, ValueError, EOFError, TypeError) as error:
         return f"{path}: {error}"
     if version != sys.version:
-        os.close(number)
-        return f"{path}: made by {version}"
-    sys.meta_path.insert(0, BundleFinder(number, LENGTH_BYTES + length, index))
+        os.close(descriptor)
+        return f"{path}: made by another Python: {version}"
+    sys.meta_path.insert(0, BundleFinder(descriptor, LENGTH_BYTES + length, index))
     return ""
 
 
-def write_bundle(path, modules, late=()):
+def write_bundle(path, modules, lazy=()):
     """Write the compiled code of modules to a bundle.
 
     Parameters
     ----------
     path : str
-        The file.
+        The bundle file.
     modules : iterable of module
-        Those without a source file are left out.
-    late : collection of str
-        Names of modules that run when something of them is first used.
+        Modules without a source file are left out.
+    lazy : collection of str
+        Names of modules that are run on first use of an attribute.
 
     Returns
     -------
     int
-        How many modules the bundle holds.
+        Number of modules in the bundle.
 
     Notes
     -----
-    It takes the place of an earlier bundle at once: were one written over, processes
-    that start meanwhile would look for its code at the places of the earlier one, and
-    end.
+    The file replaces an earlier bundle atomically. If it were overwritten in place,
+    processes that start meanwhile would read code at the offsets of the earlier bundle
+    and exit.
     """
     blocks = []
     index = {}
@@ -120,17 +123,17 @@
     for spec in list_sources(modules):
         block = marshal.dumps(spec.loader.get_code(spec.name))
         is_package = spec.submodule_search_locations is not None
-        is_late = spec.name in late
-        index[spec.name] = (spec.origin, is_package, is_late, offset, len(block))
+        is_lazy = spec.name in lazy
+        index[spec.name] = (spec.origin, is_package, is_lazy, offset, len(block))
         blocks.append(block)
         offset += len(block)
-    head = marshal.dumps((sys.version, index))
-    unfinished = f"{path}.unfinished"
-    with open(unfinished, "wb") as file:
-        file.write(len(head).to_bytes(LENGTH_BYTES, "big"))
-        file.write(head)
+    header = marshal.dumps((sys.version, index))
+    temporary_path = f"{path}.unfinished"
+    with open(temporary_path, "wb") as file:
+        file.write(len(header).to_bytes(LENGTH_BYTES, "big"))
+        file.write(header)
         file.writelines(blocks)
-    os.replace(unfinished, path)
+    os.replace(temporary_path, path)
     return len(index)
 
 
--- a/packages/hingesill-node/hingesill_node/clocks.py
+++ b/packages/hingesill-node/hingesill_node/clocks.py
@@ -1,10 +1,10 @@
-"""Clocks of a node, and which one is for what.
+"""Clocks of a node and their uses.
 
-Beliefs, requests' times and what nodes tell each other with an age go by the boot-time
-clock: it goes on while the VM is suspended, so that nothing known before is taken for
-news after it, and no request is sent whose time has passed. The monotonic clock is for
-waits of this process alone, as the event loop's timers use it. The time of day is for
-people and for what outlasts all processes.
+Known records, request deadlines and the ages in messages between nodes use the
+boot-time clock. It continues while the VM is suspended, so that records from before a
+suspension do not count as recent after it, and no request is sent past its deadline.
+The monotonic clock is only for waits within this process, as the event loop's timers
+use it. The time of day is for people and for data that outlasts all processes.
 """
 
 import time
@@ -13,10 +13,10 @@
 
 
 def read_boot_time():
-    """Return the seconds since the VM started, those in which it was suspended too."""
+    """Return the seconds since the VM booted, including time in suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def read_day_time():
-    """Return the Unix seconds; they may step."""
+    """Return the Unix time in seconds; it may jump."""
     return time.time()
--- a/packages/hingesill-node/hingesill_node/control/node.py
+++ b/packages/hingesill-node/hingesill_node/control/node.py
@@ -49,7 +49,7 @@
             counters,
             Publisher(blackboard, self.bridge, settings.fleet_limit),
             lambda: blackboard.is_ready,
-            self.explainer.ask,
+            self.explainer.request_explanation,
         )
 
     @property
--- a/packages/hingesill-node/hingesill_node/datagramport.py
+++ b/packages/hingesill-node/hingesill_node/datagramport.py
@@ -1,77 +1,78 @@
-"""The UDP socket of a node's control address, which several parts share."""
+"""UDP socket of a node's control address, shared by several components."""
 
 import eventlet
 from eventlet.green import socket as green_socket
 
 from hingesill_node.listeners import split_address
 
-__all__ = ["DatagramPort", "MOST_BYTES"]
+__all__ = ["DatagramPort", "MAX_DATAGRAM_BYTES"]
 
-# Of a datagram; what nodes send fits into 1,400.
-MOST_BYTES = 4096
+# Largest datagram in bytes that is received whole; nodes send at most 1,400 bytes.
+MAX_DATAGRAM_BYTES = 4096
 
 
 class DatagramPort:
-    """Hands each datagram to the part that knows its kind by the first byte.
+    """Dispatches each datagram to a handler by its first byte.
 
     Parameters
     ----------
     counters : Counters
-        Gets ``datagrams``.
+        Counts failed and unknown messages under ``datagrams``.
     """
 
     def __init__(self, counters):
         self.counters = counters
         self._sock = None
-        self._takers = {}
-        self._take_other = None
+        self._handlers = {}
+        self._default_handler = None
 
-    def register(self, marks, take):
-        """Hand datagrams that begin with one of these bytes to a callable.
+    def register(self, prefixes, handler):
+        """Register the handler of datagrams that begin with one of these bytes.
 
         Parameters
         ----------
-        marks : bytes
-            First bytes, each of one part only.
-        take : callable
-            Takes the bytes, and IP number and port of the sender.
+        prefixes : bytes
+            First bytes; each may have one handler only.
+        handler : callable
+            Called with the data and the sender's IP address and port.
         """
-        for mark in marks:
-            if mark in self._takers:
-                raise ValueError(f"datagrams that begin with {mark:#x} have a taker")
-            self._takers[mark] = take
+        for prefix in prefixes:
+            if prefix in self._handlers:
+                raise ValueError(f"datagram prefix {prefix:#x} already has a handler")
+            self._handlers[prefix] = handler
 
-    def register_other(self, take):
-        """Hand all other datagrams to a callable."""
-        self._take_other = take
+    def register_default(self, handler):
+        """Register the handler of all other datagrams."""
+        self._default_handler = handler
 
     def start(self, address):
-        """Begin to listen on ``IP:PORT``; OSError if that cannot be bound."""
+        """Start to listen on ``IP:PORT``; raise OSError if it cannot be bound."""
         self._sock = green_socket.socket(green_socket.AF_INET, green_socket.SOCK_DGRAM)
         self._sock.bind(split_address(address))
         eventlet.spawn(self._listen)
 
     def send(self, data, peer):
-        """Send a datagram; OSError if that is not possible at once.
+        """Send a datagram; raise OSError if that would block.
 
         Notes
         -----
-        Decisions send in the middle of their work, so it must not wait: another green
-        thread would find them half made.
+        Decisions send datagrams while they change state. A wait here would let another
+        green thread see that state half updated.
         """
         self._sock.fd.sendto(data, peer)
 
     def _listen(self):
         while True:
             try:
-                data, sender = self._sock.recvfrom(MOST_BYTES)
+                data, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
-                # A peer's port that is closed shows here; the next datagram will do.
+                # A closed port of a peer is reported here; continue with the next
+                # datagram.
                 self.counters.add("datagrams", "failed")
                 continue
-            take = self._takers.get(data[0]) if data else None
-            take = take or self._take_other
-            if take is not None:
-                take(data, sender)
+            handler = self._handlers.get(data[0]) if data else None
+            handler = handler or self._default_handler
+            if handler is not None:
+                handler(data, sender)
             else:
                 self.counters.add("datagrams", "unknown")
--- a/packages/hingesill-node/hingesill_node/datapath/announcements.py
+++ b/packages/hingesill-node/hingesill_node/datapath/announcements.py
@@ -55,7 +55,7 @@
         """
         self._port = port
         self._hear = hear
-        port.register_other(self._take)
+        port.register_default(self._take)
 
     def _take(self, data, sender):
         try:
--- a/packages/hingesill-node/hingesill_node/datapath/server.py
+++ b/packages/hingesill-node/hingesill_node/datapath/server.py
@@ -7,7 +7,7 @@
 
 from hingesill_node.datapath.application import PROTOCOL_KEY
 from hingesill_node.datapath.requests import RequestHead
-from hingesill_node.listeners import open_listener, take_early
+from hingesill_node.listeners import open_listener, pop_early_listener
 
 __all__ = ["CallerProtocol", "listen", "start_server"]
 
@@ -83,7 +83,9 @@
     OSError
         If the address cannot be listened on.
     """
-    return GreenSocket(take_early(address) or open_listener(address, reuse_port))
+    return GreenSocket(
+        pop_early_listener(address) or open_listener(address, reuse_port)
+    )
 
 
 def start_server(sock, application):
--- a/packages/hingesill-node/hingesill_node/environment.py
+++ b/packages/hingesill-node/hingesill_node/environment.py
@@ -1,4 +1,4 @@
-"""Reading settings: flags first, then environment variables, then defaults."""
+"""Reads settings from flags, environment variables and defaults, in that order."""
 
 import os
 
@@ -11,12 +11,12 @@
 
 
 def load_settings(flags):
-    """Return the settings, or every finding.
+    """Return the settings, or all findings.
 
     Parameters
     ----------
     flags : dict
-        By setting's name; they go before environment variables.
+        Values by name of setting; they override environment variables.
 
     Returns
     -------
@@ -26,14 +26,14 @@
     found = build_settings({name: str(value) for name, value in values.items()})
     if not isinstance(found, Findings):
         return found
-    placed = Findings()
+    located = Findings()
     for finding in found:
-        placed.add(name_place(finding.place, flags), finding.message)
-    return placed
+        located.add(format_location(finding.place, flags), finding.message)
+    return located
 
 
 def read_environment(environ):
-    """Return the values of all variables that are ours, by setting's name."""
+    """Return the values of all variables with our prefix, by name of setting."""
     return {
         variable.removeprefix(ENVIRONMENT_PREFIX).lower(): value
         for variable, value in environ.items()
@@ -41,8 +41,8 @@
     }
 
 
-def name_place(name, flags):
-    """Return the flag or variable that a finding is about."""
+def format_location(name, flags):
+    """Return the flag or variable to which a finding refers."""
     if name in flags:
         return f"--{name}"
     if name == Settings.__name__:
--- a/packages/hingesill-node/hingesill_node/explanation.py
+++ b/packages/hingesill-node/hingesill_node/explanation.py
@@ -1,4 +1,4 @@
-"""Why a node would route a request as it does."""
+"""Explanations of how a node would route a request."""
 
 import time
 
@@ -15,9 +15,9 @@
     blackboard : Blackboard
         The configuration in force.
     runners : RunnerTable
-        What is known of the endpoints.
+        State of the endpoints.
     bridge : Bridge
-        Leads to the hub.
+        Runs calls on the hub's thread.
     """
 
     def __init__(self, blackboard, runners, bridge, clock=time.monotonic):
@@ -26,8 +26,8 @@
         self.bridge = bridge
         self.clock = clock
 
-    def ask(self, method, path, resolve):
-        """Have the hub explain a route; from any thread."""
+    def request_explanation(self, method, path, resolve):
+        """Explain a route on the hub's thread; may be called from any thread."""
         self.bridge.post(lambda: resolve(self.explain(method, path)))
 
     def explain(self, method, path):
@@ -43,7 +43,7 @@
             policy=dispatcher.service.policy,
         )
         for state in dispatcher.states.values():
-            reason = find_bar(state, now)
+            reason = find_ineligibility(state, now)
             reply.candidates.add(
                 endpoint=state.identity,
                 eligible=not reason,
@@ -56,8 +56,8 @@
         return reply
 
 
-def find_bar(state, now):
-    """Return what keeps requests from an endpoint, or an empty string."""
+def find_ineligibility(state, now):
+    """Return why an endpoint gets no requests, or an empty string."""
     if state.is_draining(now):
         return "it is leaving"
     if state.health.is_ejected(now):
--- a/packages/hingesill-node/hingesill_node/lifecycle.py
+++ b/packages/hingesill-node/hingesill_node/lifecycle.py
@@ -1,4 +1,4 @@
-"""From start to planned stop: when the node is ready, and how it ends."""
+"""Life cycle of a node: readiness and planned stop."""
 
 import time
 
@@ -9,22 +9,22 @@
 
 __all__ = ["Lifecycle"]
 
-REVIEW_SECONDS = 0.25
-DRAIN_CHECK_SECONDS = 0.01
+REVIEW_INTERVAL_SECONDS = 0.25
+DRAIN_CHECK_INTERVAL_SECONDS = 0.01
 QUIET_SECONDS = 0.2
 
 
 class Lifecycle:
-    """Moves the blackboard's phase.
+    """Controls the phase of the blackboard.
 
     Parameters
     ----------
     blackboard : Blackboard
-        Its phase is written.
+        Its ``phase`` is written.
     settings : Settings
-        The lag, the bound and the isolation time.
+        Provides the balancer's lag, the stop timeout and the isolation time.
     control : Control
-        Asked whether the node can serve, and told of a planned stop.
+        Knows whether the node can serve, and is notified of a planned stop.
     clock : callable
         Monotonic seconds.
     """
@@ -34,18 +34,18 @@
         self.settings = settings
         self.control = control
         self.clock = clock
-        self.stop_asked = False
-        self._heard_at = clock()
+        self.stop_requested = False
+        self._connected_at = clock()
 
-    def ask_stop(self, *_):
-        """Begin a planned stop; a signal handler."""
-        self.stop_asked = True
+    def request_stop(self, *_):
+        """Request a planned stop; a signal handler."""
+        self.stop_requested = True
 
     def run_until_stop(self):
-        """Keep the phase until a stop is asked for."""
-        while not self.stop_asked:
+        """Update the phase until a stop is requested."""
+        while not self.stop_requested:
             self._review()
-            eventlet.sleep(REVIEW_SECONDS)
+            eventlet.sleep(REVIEW_INTERVAL_SECONDS)
 
     def _review(self):
         phase = self.blackboard.phase
@@ -63,24 +63,25 @@
             log_event(Event.NODE_READY if ready else Event.NODE_NOT_READY)
 
     def _is_isolated(self):
-        """Tell whether neither the store nor any node was heard of for long."""
+        """Return whether the store and all nodes have been silent for too long."""
         now = self.clock()
         if self.control.is_connected():
-            self._heard_at = now
-        return now - self._heard_at > self.settings.isolation_s
+            self._connected_at = now
+        return now - self._connected_at > self.settings.isolation_s
 
     def stop(self, listener):
-        """End without cutting anything off.
+        """Stop serving without dropping requests.
 
         Parameters
         ----------
         listener : socket
-            Closed once the platform's balancer has had time to see ``/ready``.
+            Closed after the time that the platform's balancer needs to notice
+            ``/ready``.
 
         Returns
         -------
         bool
-            False if requests outlived the bound.
+            False if requests were still in flight at the timeout.
         """
         self.blackboard.write("phase", Phase.STOPPING)
         log_event(Event.STOP_BEGUN, in_flight=self.blackboard.in_flight)
@@ -88,22 +89,23 @@
         eventlet.sleep(self.settings.balancer_lag_s)
         listener.close()
         is_quiet = self._wait_until_quiet()
-        ended = Event.STOP_ENDED if is_quiet else Event.STOP_BOUND_REACHED
-        log_event(ended, in_flight=self.blackboard.in_flight)
+        event = Event.STOP_ENDED if is_quiet else Event.STOP_BOUND_REACHED
+        log_event(event, in_flight=self.blackboard.in_flight)
         return is_quiet
 
     def _wait_until_quiet(self):
-        """Return True once no request was in flight for a while.
+        """Wait until no request has been in flight for ``QUIET_SECONDS``.
 
         Notes
         -----
-        What is in flight is looked at last, with no other green thread in
-        between: a request that was read before the end is waited for.
+        The count of requests in flight is checked last, and no other green thread runs
+        between that check and the return, so that a request read before the end is
+        still waited for.
         """
-        bound = self.clock() + self.settings.stop_bound_s
+        deadline = self.clock() + self.settings.stop_bound_s
         quiet_since = self.clock()
-        while self.clock() <= bound:
-            eventlet.sleep(DRAIN_CHECK_SECONDS)
+        while self.clock() <= deadline:
+            eventlet.sleep(DRAIN_CHECK_INTERVAL_SECONDS)
             if self.blackboard.in_flight:
                 quiet_since = self.clock()
             elif self.clock() - quiet_since >= QUIET_SECONDS:
--- a/packages/hingesill-node/hingesill_node/listeners.py
+++ b/packages/hingesill-node/hingesill_node/listeners.py
@@ -1,17 +1,22 @@
-"""Listening sockets, also ones that are opened before the rest of a node is loaded.
+"""Listening sockets, including those opened before the rest of a node is loaded.
 
-Loading takes half a second or more. Callers who connect meanwhile are not turned away:
-the kernel takes their connections, and the server reads them once it runs. So this
-module loads nothing else.
+Loading takes half a second or more. Connections of callers in that time are not
+refused: the kernel queues them, and the server accepts them once it runs. For this
+reason, the module imports no other module of the package.
 """
 
 import socket
 
-__all__ = ["open_early", "open_listener", "split_address", "take_early"]
+__all__ = [
+    "open_early_listener",
+    "open_listener",
+    "split_address",
+    "pop_early_listener",
+]
 
-# Connections that wait to be accepted.
+# Maximum number of connections that wait to be accepted.
 BACKLOG = 1024
-OPENED = {}
+EARLY_LISTENERS = {}
 
 
 def split_address(address):
@@ -26,14 +31,14 @@
     Parameters
     ----------
     address : str
-        ``IP:PORT``; port 0 takes a free one.
+        ``IP:PORT``; port 0 selects a free port.
     reuse_port : bool
-        Let several nodes of a VM share the port.
+        Whether several nodes of a VM share the port.
 
     Raises
     ------
     OSError
-        If the address cannot be listened on.
+        If the address cannot be bound.
     """
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -51,19 +56,19 @@
     return sock
 
 
-def open_early(address):
-    """Listen on ``IP:PORT`` until the server takes the socket.
+def open_early_listener(address):
+    """Listen on ``IP:PORT``, for the server to claim the socket later.
 
     Notes
     -----
-    What fails here fails again when the server listens, and is told then.
+    Errors are ignored: the server meets the same error when it listens, and reports it.
     """
     try:
-        OPENED[address] = open_listener(address)
+        EARLY_LISTENERS[address] = open_listener(address)
     except OSError:
         return
 
 
-def take_early(address):
-    """Return the socket that listens on an address, or None; it is given once."""
-    return OPENED.pop(address, None)
+def pop_early_listener(address):
+    """Return the early socket of an address once, or None if there is none."""
+    return EARLY_LISTENERS.pop(address, None)
--- a/packages/hingesill-node/hingesill_node/main.py
+++ b/packages/hingesill-node/hingesill_node/main.py
@@ -1,4 +1,4 @@
-"""The binary ``hingesilld``: one node process."""
+"""Entry point of the program ``hingesilld``, one node process."""
 
 import os
 import sys
@@ -17,11 +17,12 @@
 
 
 def choose_control(settings):
-    """Return the class of the control that the settings ask for.
+    """Return the class of the control that the settings select.
 
     Notes
     -----
-    Imported here, as gRPC takes memory that a node with a directory can spare.
+    The modules are imported here, because gRPC uses memory and a node with a directory
+    does not need it.
     """
     if settings.directory:
         from hingesill_node.discovery.control import DirectoryControl
@@ -40,7 +41,7 @@
     Parameters
     ----------
     check : bool
-        Only tell what is wrong with the settings, or that nothing is.
+        Only validate the settings and print the result.
     """
     settings = load_settings(flags)
     if isinstance(settings, Findings):
@@ -51,7 +52,8 @@
         print("hingesilld: the settings are valid")
         return
     start_logging(settings.name, settings.log_level)
-    # What waited or rested while the VM was suspended is known to be old.
+    # The boot-time clock includes suspension of the VM, so that waiting requests and
+    # idle connections have their true age after it.
     node = Node(settings, choose_control(settings), clock=read_boot_time)
     code = node.run()
     sys.stdout.flush()
@@ -59,7 +61,7 @@
 
 
 def run():
-    """Entry point of the binary."""
+    """Run the command line of the program."""
     fire.Fire(serve)
 
 
--- a/packages/hingesill-node/hingesill_node/node.py
+++ b/packages/hingesill-node/hingesill_node/node.py
@@ -1,4 +1,4 @@
-"""A node process: the data path between a control and its life cycle."""
+"""A node process: wires the data path, the control and the life cycle."""
 
 import gc
 import random
@@ -31,42 +31,43 @@
 
 EXIT_NO_ADDRESS = 3
 EXIT_STOP_BOUND = 4
-# The store answers in milliseconds. If it does not, callers are told so, before the
-# second is over in which they expect their request to be read.
-FIRST_READ_SECONDS = 0.4
-FIRST_READ_PAUSE = 0.005
+# The store usually answers within milliseconds. If it does not, the node starts to
+# refuse requests, so that callers get an answer within the second in which they expect
+# their request to be read.
+FIRST_READ_TIMEOUT_SECONDS = 0.4
+FIRST_READ_POLL_SECONDS = 0.005
 GC_THRESHOLDS = (50_000, 50, 100)
 
 
 class Control(Protocol):
-    """Where a node's configuration and endpoints come from."""
+    """Source of a node's configuration and endpoints."""
 
     announcements: object
     address: str
 
     def start(self, runners):
-        """Begin to work; return what is wrong, or an empty text."""
+        """Start; return an error message, or an empty string."""
 
     def is_initialized(self):
-        """Tell whether what is known suffices to serve."""
+        """Return whether enough is known to serve requests."""
 
     def is_connected(self):
-        """Tell whether the store or another node answers."""
+        """Return whether the store or another node answers."""
 
     def get_confirmed_age(self):
-        """Return the seconds since what is known was last confirmed."""
+        """Return the seconds since the current view was last confirmed."""
 
     def count_invalid(self):
-        """Return the store's entries that cannot be read, as this node read it."""
+        """Return the number of invalid entries that this node found in the store."""
 
     def apply(self, settings):
-        """Put changed settings in force; return the names of these."""
+        """Apply changed settings; return the names of those now in force."""
 
     def leave(self):
-        """Tell others that a planned stop has begun."""
+        """Announce a planned stop to other nodes."""
 
     def stop(self):
-        """End all work."""
+        """Stop all activity."""
 
 
 class Node:
@@ -75,15 +76,15 @@
     Parameters
     ----------
     settings : Settings
-        Validated.
+        Validated settings.
     build_control : callable
         Returns the Control for settings, blackboard and counters.
     wire : OwnFormat or None
-        The dialect; hingesill's own if None.
+        The wire format; that of hingesill if None.
     load : callable or None
         Reads the settings again; None if they cannot change.
     clock : callable
-        Seconds, by which requests' times pass and connections rest.
+        Seconds, for the deadlines of requests and the idle times of connections.
     """
 
     def __init__(
@@ -126,19 +127,19 @@
         }
 
     def run(self):
-        """Serve until a planned stop has ended; return the exit code."""
+        """Serve until a planned stop is complete; return the exit code."""
         listeners = self._listen()
         if isinstance(listeners, str):
-            return refuse_address(listeners)
+            return report_bind_error(listeners)
         callers, admin = listeners
         error = self.control.start(self.runners)
         if error:
-            return refuse_address(error)
+            return report_bind_error(error)
         start_server(admin, self._build_admin())
-        signal.signal(signal.SIGTERM, self.lifecycle.ask_stop)
-        signal.signal(signal.SIGINT, self.lifecycle.ask_stop)
+        signal.signal(signal.SIGTERM, self.lifecycle.request_stop)
+        signal.signal(signal.SIGINT, self.lifecycle.request_stop)
         reloader = Reloader(self.settings, self.load, self.control.apply)
-        signal.signal(signal.SIGHUP, reloader.ask)
+        signal.signal(signal.SIGHUP, reloader.request_reload)
         eventlet.spawn(reloader.run)
         self._wait_for_configuration()
         start_server(callers, self.application)
@@ -150,15 +151,15 @@
             admin=format_address(admin),
         )
         self.lifecycle.run_until_stop()
-        clean = self.lifecycle.stop(callers)
+        is_clean = self.lifecycle.stop(callers)
         self.control.stop()
-        return 0 if clean else EXIT_STOP_BOUND
+        return 0 if is_clean else EXIT_STOP_BOUND
 
     def _wait_for_configuration(self, clock=time.monotonic):
-        """Leave callers in the accept queue until their requests can be served."""
-        until = clock() + FIRST_READ_SECONDS
-        while not self.control.is_initialized() and clock() < until:
-            eventlet.sleep(FIRST_READ_PAUSE)
+        """Keep callers in the accept queue until their requests can be served."""
+        deadline = clock() + FIRST_READ_TIMEOUT_SECONDS
+        while not self.control.is_initialized() and clock() < deadline:
+            eventlet.sleep(FIRST_READ_POLL_SECONDS)
 
     def _build_admin(self):
         return AdminApplication(
@@ -166,7 +167,7 @@
         )
 
     def _listen(self):
-        """Return the two listening sockets, or what is wrong."""
+        """Return the two listening sockets, or an error message."""
         try:
             callers = listen(self.settings.address, self.settings.reuse_port)
         except OSError as error:
@@ -177,20 +178,20 @@
             return f"admin_address {self.settings.admin_address}: {error.strerror}"
 
 
-def refuse_address(error):
-    """Tell operator and log why the node does not start; return the exit code."""
+def report_bind_error(error):
+    """Log and print why the node does not start; return the exit code."""
     log_event(Event.PORT_UNAVAILABLE, error=error)
     print(f"hingesilld: {error}", file=sys.stderr)
     return EXIT_NO_ADDRESS
 
 
 def freeze_start_objects():
-    """Keep the collector from walking through all modules again and again.
+    """Exclude the objects of the loaded modules from garbage collection.
 
     Notes
     -----
-    What loading left behind is kept too: a search for it would stop the node in the
-    first second in which callers are served.
+    Garbage left by loading is not collected first: a full collection would pause the
+    node in the first second in which it serves callers.
     """
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/packages/hingesill-node/hingesill_node/reload.py
+++ b/packages/hingesill-node/hingesill_node/reload.py
@@ -1,4 +1,4 @@
-"""Taking changed settings into a node that runs."""
+"""Reload of changed settings in a running node."""
 
 import eventlet
 
@@ -7,17 +7,17 @@
 
 __all__ = ["Reloader", "find_changes"]
 
-# The settings file may change without a signal.
-REVIEW_SECONDS = 5.0
+# The settings file may change without a signal, so it is also read periodically.
+RELOAD_INTERVAL_SECONDS = 5.0
 
 
 class Reloader:
-    """Reads the settings again, on a signal and now and then.
+    """Reloads the settings on a signal and periodically.
 
     Parameters
     ----------
     settings : Settings
-        In force.
+        Settings in force.
     load : callable
         Returns Settings or Findings.
     apply : callable
@@ -29,36 +29,38 @@
         self.settings = settings
         self.load = load
         self.apply = apply
-        self.is_asked = False
+        self.is_requested = False
 
-    def ask(self, *_):
-        """Have the settings read soon; a signal handler."""
-        self.is_asked = True
+    def request_reload(self, *_):
+        """Request a reload of the settings; a signal handler."""
+        self.is_requested = True
 
     def run(self):
-        """Work until the process ends."""
+        """Reload until the process exits."""
         while True:
-            asked, self.is_asked = self.is_asked, False
-            self.review(asked)
-            eventlet.sleep(REVIEW_SECONDS)
+            requested, self.is_requested = self.is_requested, False
+            self.reload(requested)
+            eventlet.sleep(RELOAD_INTERVAL_SECONDS)
 
-    def review(self, asked):
-        """Read the settings; put in force what has changed."""
+    def reload(self, requested):
+        """Read the settings and apply those that have changed."""
         found = self.load()
         if isinstance(found, Findings):
             log_event(Event.RELOAD_REFUSED, findings=[str(item) for item in found])
             return
         changed = find_changes(self.settings, found)
-        if not changed and not asked:
+        if not changed and not requested:
             return
         in_force = self.apply(found) if changed else []
-        waiting = [name for name in changed if name not in in_force]
+        deferred = [name for name in changed if name not in in_force]
         self.settings = found
-        log_event(Event.RELOADED, asked=asked, in_force=in_force, at_next_start=waiting)
+        log_event(
+            Event.RELOADED, asked=requested, in_force=in_force, at_next_start=deferred
+        )
 
 
 def find_changes(old, new):
-    """Return the names of the settings that differ, but for the process's name."""
+    """Return the names of the settings that differ, except the process's name."""
     names = type(new).__struct_fields__
     return [
         name
--- a/packages/hingesill-node/hingesill_node/tests/__init__.py
+++ b/packages/hingesill-node/hingesill_node/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the modules at the top of the package."""
+"""Tests of the top-level modules of the package."""
--- a/packages/hingesill-node/hingesill_node/tests/test_bundle.py
+++ b/packages/hingesill-node/hingesill_node/tests/test_bundle.py
@@ -1,4 +1,4 @@
-"""Tests of loading modules from one file."""
+"""Tests of importing modules from a bundle."""
 
 import subprocess
 import sys
@@ -12,7 +12,7 @@
 sys.path.insert(0, {folder!r})
 import first, box.inner
 from hingesill_node.bundle import write_bundle
-print(write_bundle({path!r}, [first, sys.modules["box"], box.inner], {late!r}))
+print(write_bundle({path!r}, [first, sys.modules["box"], box.inner], {lazy!r}))
 """
 
 READ = """
@@ -44,33 +44,33 @@
         self.assertEqual(done.returncode, 0, done.stderr)
         return done.stdout
 
-    def write(self, late=()):
-        return self.run_python(WRITE, folder=str(self.folder), late=tuple(late))
+    def write(self, lazy=()):
+        return self.run_python(WRITE, folder=str(self.folder), lazy=tuple(lazy))
 
-    def test_modules_come_from_the_bundle_alone(self):
+    def test_modules_are_loaded_without_their_source_files(self):
         self.assertIn("3", self.write())
         for file in self.folder.rglob("*.py"):
             file.unlink()
         check = "assert (first.VALUE, box.VALUE, box.inner.VALUE) == (1, 2, 3)"
         self.assertEqual(self.run_python(READ, check=check), "ran\n")
 
-    def test_what_the_bundle_lacks_is_found_where_the_package_lies(self):
+    def test_missing_submodules_are_found_in_the_package_folder(self):
         self.write()
         (self.folder / "box" / "later.py").write_text("VALUE = 4\n")
         check = "import box.later; assert box.later.VALUE == 4"
         self.run_python(READ, check=check)
 
-    def test_modules_know_where_their_source_is(self):
+    def test_modules_have_the_path_of_their_source(self):
         self.write()
         check = f"assert first.__file__ == {str(self.folder / 'first.py')!r}"
         self.run_python(READ, check=check)
 
-    def test_a_late_module_runs_when_it_is_used(self):
-        self.write(late=["first"])
+    def test_a_lazy_module_runs_on_first_use(self):
+        self.write(lazy=["first"])
         self.assertEqual(self.run_python(READ, check="pass"), "")
         self.assertEqual(self.run_python(READ, check="first.VALUE"), "ran\n")
 
-    def test_a_bundle_that_cannot_be_used_is_told_and_left_out(self):
+    def test_an_invalid_bundle_is_reported_and_not_used(self):
         check = """
         from hingesill_node.bundle import open_bundle
         import sys
@@ -84,7 +84,7 @@
             with self.subTest(data=data):
                 self.assertIn(self.path, self.run_python(check))
 
-    def test_a_bundle_that_is_written_anew_does_not_harm_who_reads_it(self):
+    def test_rewriting_a_bundle_does_not_affect_its_readers(self):
         self.write()
         text = f"""
         from hingesill_node.bundle import open_bundle, write_bundle
@@ -97,7 +97,7 @@
         """
         self.assertEqual(self.run_python(text), "ran\n")
 
-    def test_a_bundle_of_another_interpreter_is_left_out(self):
+    def test_a_bundle_of_another_interpreter_is_not_used(self):
         self.write()
         check = """
         import sys
--- a/packages/hingesill-node/hingesill_node/tests/test_datagramport.py
+++ b/packages/hingesill-node/hingesill_node/tests/test_datagramport.py
@@ -1,4 +1,4 @@
-"""Tests of the UDP socket that parts of a node share."""
+"""Tests of the UDP socket that the components of a node share."""
 
 import socket
 import unittest
@@ -17,32 +17,32 @@
             self.address = sock.getsockname()
         self.port = DatagramPort(self.counters)
         self.port.start("%s:%d" % self.address)
-        self.heard = []
+        self.received = []
 
     def wait(self, condition):
         with eventlet.Timeout(5.0):
             while not condition():
                 eventlet.sleep(0.01)
 
-    def test_each_kind_comes_to_its_taker(self):
-        self.port.register(b"A", lambda data, sender: self.heard.append((data, "A")))
-        self.port.register_other(lambda data, sender: self.heard.append((data, "")))
+    def test_datagrams_are_dispatched_by_first_byte(self):
+        self.port.register(b"A", lambda data, _: self.received.append((data, "A")))
+        self.port.register_default(lambda data, _: self.received.append((data, "")))
         for data in (b"A1", b"B1", b""):
             self.port.send(data, self.address)
-        self.wait(lambda: len(self.heard) == 3)
-        self.assertEqual(self.heard, [(b"A1", "A"), (b"B1", ""), (b"", "")])
+        self.wait(lambda: len(self.received) == 3)
+        self.assertEqual(self.received, [(b"A1", "A"), (b"B1", ""), (b"", "")])
 
-    def test_what_nothing_takes_is_counted(self):
+    def test_datagrams_without_a_handler_are_counted(self):
         self.port.send(b"x", self.address)
         self.wait(lambda: self.counters.counts[("datagrams", "unknown", "")] == 1)
 
-    def test_a_kind_has_one_taker(self):
+    def test_a_second_handler_is_rejected(self):
         self.port.register(b"A", print)
         with self.assertRaises(ValueError):
             self.port.register(b"A", print)
 
-    def test_sending_never_waits(self):
-        """Not even for a moment in which another green thread could run."""
+    def test_sending_never_yields(self):
+        """Guards against a send that lets another green thread run."""
         ran = []
         eventlet.spawn(lambda: ran.append(True))
         for _ in range(2000):
--- a/packages/hingesill-node/hingesill_node/tests/test_lifecycle.py
+++ b/packages/hingesill-node/hingesill_node/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Tests of how a node ends."""
+"""Tests of the planned stop of a node."""
 
 import unittest
 from types import SimpleNamespace
@@ -17,8 +17,8 @@
         settings = SimpleNamespace(stop_bound_s=1.0, balancer_lag_s=0.0)
         self.lifecycle = Lifecycle(self.board, settings, None)
 
-    def test_a_request_that_came_in_the_last_moment_is_waited_for(self):
-        pause = lifecycle.DRAIN_CHECK_SECONDS
+    def test_a_request_shortly_before_the_end_is_waited_for(self):
+        pause = lifecycle.DRAIN_CHECK_INTERVAL_SECONDS
         waiting = eventlet.spawn(self.lifecycle._wait_until_quiet)
         eventlet.sleep(QUIET_SECONDS - pause / 2)
         self.board.in_flight = 1
@@ -27,6 +27,6 @@
         self.board.in_flight = 0
         self.assertTrue(waiting.wait())
 
-    def test_the_bound_ends_the_wait(self):
+    def test_the_timeout_ends_the_wait(self):
         self.board.in_flight = 1
         self.assertFalse(self.lifecycle._wait_until_quiet())
--- a/packages/hingesill-node/hingesill_node/tests/test_reload.py
+++ b/packages/hingesill-node/hingesill_node/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Tests of reading settings again while the node runs."""
+"""Tests of the reload of settings in a running node."""
 
 import unittest
 
@@ -17,25 +17,25 @@
         self.applied.append(settings)
         return ["queue_limit"]
 
-    def test_what_did_not_change_is_left_alone(self):
-        self.reloader.review(asked=True)
+    def test_unchanged_settings_are_not_applied(self):
+        self.reloader.reload(requested=True)
         self.assertEqual(self.applied, [])
 
-    def test_a_new_name_is_no_change(self):
+    def test_a_new_name_is_not_a_change(self):
         self.found = Settings(name="n2")
-        self.reloader.review(asked=False)
+        self.reloader.reload(requested=False)
         self.assertEqual(self.applied, [])
 
     def test_a_change_is_applied_once(self):
         self.found = Settings(name="n1", queue_limit=7)
-        self.reloader.review(asked=False)
-        self.reloader.review(asked=False)
+        self.reloader.reload(requested=False)
+        self.reloader.reload(requested=False)
         self.assertEqual([s.queue_limit for s in self.applied], [7])
 
-    def test_settings_that_are_not_valid_leave_the_old_ones_in_force(self):
+    def test_invalid_settings_leave_the_old_ones_in_force(self):
         findings = Findings()
         findings.add("boot.toml", "is no TOML")
         self.found = findings
-        self.reloader.review(asked=True)
+        self.reloader.reload(requested=True)
         self.assertEqual(self.applied, [])
         self.assertEqual(self.reloader.settings.name, "n1")
