--- a/packages/hingesill-cli/hingesill_cli/__init__.py
+++ b/packages/hingesill-cli/hingesill_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line: a thin client of the operators' calls."""
+"""Command line for operators: a thin client of the Operators service."""
--- a/packages/hingesill-cli/hingesill_cli/breakdown.py
+++ b/packages/hingesill-cli/hingesill_cli/breakdown.py
@@ -1,4 +1,4 @@
-"""Where the time of requests went, by window and service, from nodes' log files."""
+"""Latency breakdown of requests by window and service, from nodes' log files."""
 
 import re
 from collections import Counter
@@ -7,14 +7,14 @@
 
 from hingesill_cli.trace import REQUEST_EVENTS
 
-__all__ = ["Window", "collect_windows", "write_windows"]
+__all__ = ["Window", "collect_windows", "format_windows"]
 
-# The time format of log lines, with milliseconds after the comma.
+# Time format of log lines, with milliseconds after the comma.
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
-# "12ms sent i-1 3/6 x1 0ms old": when, what, the endpoint and its taken slots.
+# "12ms sent i-1 3/6 x1 0ms old": time, step, endpoint and its slots in use.
 SEND = re.compile(r"(\d+)ms (sent|hedged) (\S+)(?: (\d+)/\d+)?")
-NOBODY_ASKED = re.compile(r"\d+ms asked(?: \(\d+ resting\))?$")
-HEAD = (
+EMPTY_QUERY = re.compile(r"\d+ms asked(?: \(\d+ resting\))?$")
+HEADER = (
     "from      service       requests  wait ms 50/90  endpoint ms 50/90  all ms 50/99"
     "  hedged  sent again  asked nobody  taken slots at the send, refusals"
 )
@@ -22,54 +22,54 @@
 
 @dataclass(slots=True)
 class Window:
-    """The requests of one service that ended within some seconds.
+    """Statistics of one service's requests that ended within a time window.
 
     Attributes
     ----------
-    waits, works, totals : list of int
-        Milliseconds before the first send, from the last send to the answer, and in
-        all.
-    hedged, sent_again, nobody_asked : int
-        Requests that had a second send beside the first, one after it, and for which
-        nobody could be asked at first.
-    levels, refusals : Counter
-        Sends by the slots that were taken, and refusals by reason.
+    queue_times, endpoint_times, total_times : list of int
+        Milliseconds before the first send, from the last send to the answer, and of
+        the whole request.
+    hedged, retried, unqueried : int
+        Number of requests with a hedged send, with a later send, and without any
+        endpoint for the first load query.
+    slots_in_use, refusals : Counter
+        Sends by the endpoint's slots in use, and refusals by reason.
     """
 
-    waits: list = field(default_factory=list)
-    works: list = field(default_factory=list)
-    totals: list = field(default_factory=list)
+    queue_times: list = field(default_factory=list)
+    endpoint_times: list = field(default_factory=list)
+    total_times: list = field(default_factory=list)
     hedged: int = 0
-    sent_again: int = 0
-    nobody_asked: int = 0
-    levels: Counter = field(default_factory=Counter)
+    retried: int = 0
+    unqueried: int = 0
+    slots_in_use: Counter = field(default_factory=Counter)
     refusals: Counter = field(default_factory=Counter)
 
-    def note(self, fields):
-        """Take the fields of a request's line."""
+    def record(self, fields):
+        """Add a request by the fields of its log line."""
         steps = fields.get("steps", ())
         sends = [match for match in map(SEND.match, steps) if match]
         milliseconds = int(fields.get("ms", 0))
-        self.totals.append(milliseconds)
-        self.nobody_asked += any(map(NOBODY_ASKED.match, steps))
+        self.total_times.append(milliseconds)
+        self.unqueried += any(map(EMPTY_QUERY.match, steps))
         self.hedged += any(send[2] == "hedged" for send in sends)
-        self.sent_again += sum(send[2] == "sent" for send in sends) > 1
-        self.levels.update(int(send[4]) for send in sends if send[4] is not None)
+        self.retried += sum(send[2] == "sent" for send in sends) > 1
+        self.slots_in_use.update(int(send[4]) for send in sends if send[4] is not None)
         if fields.get("reason"):
             self.refusals[fields["reason"]] += 1
         if sends:
-            self.waits.append(int(sends[0][1]))
+            self.queue_times.append(int(sends[0][1]))
         if sends and not fields.get("reason"):
-            self.works.append(milliseconds - int(sends[-1][1]))
+            self.endpoint_times.append(milliseconds - int(sends[-1][1]))
 
 
 def collect_windows(lines, seconds):
-    """Return a Window by its start, in seconds of the epoch, and service.
+    """Return the windows by start, in seconds since the epoch, and service.
 
     Parameters
     ----------
     lines : iterable of Line
-        Of all nodes.
+        Log lines of all nodes.
     seconds : float
         Length of a window.
     """
@@ -78,12 +78,12 @@
         start = find_start(line.time, seconds)
         if line.event in REQUEST_EVENTS and start is not None:
             key = start, line.fields.get("service", "")
-            windows.setdefault(key, Window()).note(line.fields)
+            windows.setdefault(key, Window()).record(line.fields)
     return windows
 
 
 def find_start(text, seconds):
-    """Return the start of the window that a time lies in; None if it is none."""
+    """Return the start of the window of a time, or None if it cannot be parsed."""
     try:
         at = datetime.strptime(text, TIME_FORMAT).timestamp()
     except ValueError:
@@ -91,29 +91,31 @@
     return at - at % seconds
 
 
-def write_windows(windows):
-    """Yield a table, a line for each window and service in order."""
-    yield HEAD
+def format_windows(windows):
+    """Yield the lines of a table, one for each window and service in order."""
+    yield HEADER
     for (start, service), window in sorted(windows.items()):
         time = datetime.fromtimestamp(start).strftime("%H:%M:%S")
         yield (
-            f"{time}  {service[:12]:12}  {len(window.totals):8}"
-            f"  {show(window.waits, 0.5, 0.9):>13}  {show(window.works, 0.5, 0.9):>17}"
-            f"  {show(window.totals, 0.5, 0.99):>12}  {window.hedged:6}"
-            f"  {window.sent_again:10}  {window.nobody_asked:12}"
-            f"  {show_counts(window.levels)}; {show_counts(window.refusals)}"
+            f"{time}  {service[:12]:12}  {len(window.total_times):8}"
+            f"  {format_quantiles(window.queue_times, 0.5, 0.9):>13}"
+            f"  {format_quantiles(window.endpoint_times, 0.5, 0.9):>17}"
+            f"  {format_quantiles(window.total_times, 0.5, 0.99):>12}"
+            f"  {window.hedged:6}"
+            f"  {window.retried:10}  {window.unqueried:12}"
+            f"  {format_counts(window.slots_in_use)}; {format_counts(window.refusals)}"
         )
 
 
-def show(values, *shares):
+def format_quantiles(values, *shares):
     """Return quantiles of values as text."""
     ordered = sorted(values)
     if not ordered:
         return "-"
-    places = (min(len(ordered) - 1, int(share * len(ordered))) for share in shares)
-    return "/".join(str(ordered[place]) for place in places)
+    positions = (min(len(ordered) - 1, int(share * len(ordered))) for share in shares)
+    return "/".join(str(ordered[position]) for position in positions)
 
 
-def show_counts(counter):
+def format_counts(counter):
     """Return a counter as text, in the order of its keys."""
     return " ".join(f"{key}:{count}" for key, count in sorted(counter.items())) or "-"
--- a/packages/hingesill-cli/hingesill_cli/client.py
+++ b/packages/hingesill-cli/hingesill_cli/client.py
@@ -1,4 +1,4 @@
-"""Calls to a node, with errors that say what to do."""
+"""Client of a node's Operators service."""
 
 import os
 from dataclasses import dataclass
@@ -11,33 +11,34 @@
 __all__ = ["CallFailed", "Client"]
 
 DEFAULT_NODE = "127.0.0.1:8081"
-CALL_SECONDS = 10.0
+CALL_TIMEOUT_SECONDS = 10.0
 
 
 @dataclass(frozen=True)
 class CallFailed:
-    """A node gave no answer.
+    """Failure of a call to a node.
 
     Parameters
     ----------
     reason : str
-        For the operator.
+        Error message for the operator.
     """
 
     reason: str
 
 
 class Client:
-    """One node's operators' port.
+    """Connection to the operators' port of one node.
 
     Parameters
     ----------
     node : str
-        ``IP:PORT``; else ``HINGESILL_NODE``, else the default.
+        ``IP:PORT``; defaults to ``HINGESILL_NODE``, then to ``DEFAULT_NODE``.
     token : str
-        Shown with each call; else ``HINGESILL_TOKEN``.
+        Sent with each call; defaults to ``HINGESILL_TOKEN``.
     ca, certificate, key : str
-        PEM files for TLS; else ``HINGESILL_CA`` and so on.
+        PEM files for TLS; default to ``HINGESILL_CA``, ``HINGESILL_CERTIFICATE`` and
+        ``HINGESILL_KEY``.
     """
 
     def __init__(self, node="", token="", ca="", certificate="", key=""):
@@ -59,12 +60,12 @@
         )
         return grpc.secure_channel(self.node, credentials, options=options)
 
-    def call(self, name, request, seconds=CALL_SECONDS):
-        """Return the reply of a call, or CallFailed."""
+    def call(self, name, request, timeout_seconds=CALL_TIMEOUT_SECONDS):
+        """Return the reply to a call, or CallFailed."""
         metadata = [("authorization", f"Bearer {self._token}")] if self._token else []
         try:
             call = getattr(self._stub, name)
-            return call(request, timeout=seconds, metadata=metadata)
+            return call(request, timeout=timeout_seconds, metadata=metadata)
         except grpc.RpcError as error:
             code = error.code().name
             return CallFailed(f"node {self.node}: {code}: {error.details()}")
--- a/packages/hingesill-cli/hingesill_cli/commands.py
+++ b/packages/hingesill-cli/hingesill_cli/commands.py
@@ -1,4 +1,4 @@
-"""The commands: each prints what it found and returns an exit code."""
+"""Commands; each prints its result and returns an exit code."""
 
 import getpass
 import json
@@ -9,9 +9,9 @@
 import yaml
 
 from hingesill_api.generated import hingesill_pb2 as pb
-from hingesill_cli.breakdown import collect_windows, write_windows
+from hingesill_cli.breakdown import collect_windows, format_windows
 from hingesill_cli.client import CallFailed, Client
-from hingesill_cli.trace import find_story, read_lines, write_story
+from hingesill_cli.trace import find_traces, format_trace, read_lines
 from hingesill_core.configuration.files import load_declarations
 
 __all__ = ["Commands"]
@@ -23,7 +23,7 @@
 EXIT_UNKNOWN = 5
 EXIT_DENIED = 6
 EXIT_LAGGING = 7
-POLL_SECONDS = 0.2
+POLL_INTERVAL_SECONDS = 0.2
 
 EXITS = {
     pb.ACCEPTED: EXIT_OK,
@@ -36,15 +36,15 @@
 }
 
 
-def complain(text):
-    """Print a line for the operator on the standard error."""
+def print_error(text):
+    """Print an error message to the standard error."""
     print(f"hingesill: {text}", file=sys.stderr)
 
 
 def report_findings(findings):
-    """Print every finding; return the exit code."""
+    """Print all findings; return the exit code."""
     for finding in findings:
-        complain(finding)
+        print_error(finding)
     return EXIT_INVALID
 
 
@@ -61,15 +61,15 @@
         self._connection = (node, token, ca, certificate, key)
 
     def _call(self, name, request):
-        """Return the reply; None once the operator was told that there is none."""
+        """Return the reply; if the call fails, print the error and return None."""
         reply = Client(*self._connection).call(name, request)
         if isinstance(reply, CallFailed):
-            complain(reply.reason)
+            print_error(reply.reason)
             return None
         return reply
 
     def validate(self, f):
-        """Check declarations without any node.
+        """Validate declarations without a node.
 
         Parameters
         ----------
@@ -84,33 +84,33 @@
         return EXIT_OK
 
     def trace(self, request, *files):
-        """Tell what became of a request, from nodes' log files.
+        """Print the trace of a request from nodes' log files.
 
         Parameters
         ----------
         request : str
-            Its id, as the caller gave it.
+            ID of the request, as sent by the caller.
         files : str
             Log files of one or more nodes.
         """
         if not files:
-            complain("trace: name at least one log file")
+            print_error("trace: name at least one log file")
             return EXIT_INVALID
         try:
-            stories = list(find_story(read_lines(map(str, files)), str(request)))
+            traces = list(find_traces(read_lines(map(str, files)), str(request)))
         except OSError as error:
-            complain(f"trace: {error.filename}: {error.strerror}")
+            print_error(f"trace: {error.filename}: {error.strerror}")
             return EXIT_INVALID
-        if not stories:
-            complain(f"trace: no line tells of the request {request}")
+        if not traces:
+            print_error(f"trace: no log line has the request {request}")
             return EXIT_NO_ANSWER
-        for story in stories:
-            for line in write_story(story):
+        for trace in traces:
+            for line in format_trace(trace):
                 print(line)
         return EXIT_OK
 
     def breakdown(self, *files, seconds=2.0):
-        """Tell where the time of requests went, by window and service.
+        """Print a latency breakdown of requests by window and service.
 
         Parameters
         ----------
@@ -120,38 +120,39 @@
             Length of a window.
         """
         if not files:
-            complain("breakdown: name at least one log file")
+            print_error("breakdown: name at least one log file")
             return EXIT_INVALID
         if not isinstance(seconds, (int, float)) or seconds <= 0:
-            complain("breakdown: --seconds is a number above 0")
+            print_error("breakdown: --seconds must be a number above 0")
             return EXIT_INVALID
         try:
             windows = collect_windows(read_lines(map(str, files)), seconds)
         except OSError as error:
-            complain(f"breakdown: {error.filename}: {error.strerror}")
+            print_error(f"breakdown: {error.filename}: {error.strerror}")
             return EXIT_INVALID
         if not windows:
-            complain("breakdown: no line tells of a request")
+            print_error("breakdown: no line of a request in the log files")
             return EXIT_NO_ANSWER
-        for line in write_windows(windows):
+        for line in format_windows(windows):
             print(line)
         return EXIT_OK
 
     def apply(self, f, dry_run=False, operation="", author="", remove=""):
-        """Put declarations in force.
+        """Apply declarations.
 
         Parameters
         ----------
         f : str
             A file or a folder.
         dry_run : bool
-            Only say what would change.
+            Only print what would change.
         operation : str
-            The id of this operation; repeat it after an unknown outcome.
+            ID of this operation; pass the same ID to repeat it after an unknown
+            outcome.
         author : str
-            Who asks; the user's name if empty.
+            Author of the change; the user's name if empty.
         remove : str
-            Services to remove, by commas.
+            Services to remove, comma-separated.
         """
         declarations, findings = load_declarations(f)
         if findings:
@@ -165,14 +166,16 @@
         return self._apply(changes, dry_run, operation, author)
 
     def remove(self, service, operation="", author=""):
-        """Remove a service; its tombstone keeps it from coming back."""
+        """Remove a service; a tombstone keeps it from reappearing."""
         return self._apply([pb.Change(service=service)], False, operation, author)
 
     def _apply(self, changes, dry_run, operation, author):
-        held = self._call("Get", pb.GetRequest())
-        if held is None:
+        current = self._call("Get", pb.GetRequest())
+        if current is None:
             return EXIT_NO_ANSWER
-        versions = {document.service: document.version for document in held.documents}
+        versions = {
+            document.service: document.version for document in current.documents
+        }
         for change in changes:
             change.expected_version = versions.get(change.service, 0)
         operation = operation or uuid.uuid4().hex
@@ -184,7 +187,7 @@
         )
         reply = self._call("Apply", request)
         if reply is None:
-            complain(f"it is not known what became of operation {operation}")
+            print_error(f"unknown outcome of operation {operation}")
             return EXIT_UNKNOWN
         return self._report_apply(reply, operation, dry_run)
 
@@ -197,13 +200,13 @@
             version = f"version {result.current_version}{by}"
             print(f"  {result.service}: {result.summary} ({version})")
         for finding in reply.findings:
-            complain(f"{finding.place}: {finding.message}")
+            print_error(f"{finding.place}: {finding.message}")
         if reply.reason:
             print(f"  {reply.reason}")
         return EXITS.get(reply.outcome, EXIT_NO_ANSWER)
 
     def get(self, *services):
-        """Print declarations as they are in force, as YAML."""
+        """Print the declarations in force as YAML."""
         reply = self._call("Get", pb.GetRequest(services=[str(s) for s in services]))
         if reply is None:
             return EXIT_NO_ANSWER
@@ -215,57 +218,57 @@
         return EXIT_OK
 
     def operation(self, id):
-        """Say what became of an operation, by its id."""
+        """Print the outcome of an operation by its ID."""
         reply = self._call("GetOperation", pb.GetOperationRequest(operation_id=str(id)))
         if reply is None:
             return EXIT_NO_ANSWER
         return self._report_apply(reply, str(id), False)
 
     def status(self, wait=0.0, revision=0):
-        """Print what is in force on each node.
+        """Print the revision and state of each node.
 
         Parameters
         ----------
         wait : float
-            Seconds to wait until every node heard from has the revision.
+            Maximum number of seconds to wait until all nodes have the revision.
         revision : int
-            The revision to wait for; the asked node's own if 0.
+            Revision to wait for; the highest of all nodes if 0.
         """
         deadline = time.monotonic() + float(wait)
         while True:
             reply = self._call("Status", pb.StatusRequest(fleet=True))
             if reply is None:
                 return EXIT_NO_ANSWER
-            wanted = revision or max(node.revision for node in reply.nodes)
-            lagging = [n for n in reply.nodes if n.unreachable or n.revision < wanted]
+            target = revision or max(node.revision for node in reply.nodes)
+            lagging = [n for n in reply.nodes if n.unreachable or n.revision < target]
             if not lagging or time.monotonic() >= deadline:
                 break
-            time.sleep(POLL_SECONDS)
+            time.sleep(POLL_INTERVAL_SECONDS)
         for node in sorted(reply.nodes, key=lambda n: (n.data_centre, n.node)):
-            print(describe_node(node, wanted))
-        print(f"{len(reply.nodes) - len(lagging)} of {len(reply.nodes)} at {wanted}")
+            print(describe_node(node, target))
+        print(f"{len(reply.nodes) - len(lagging)} of {len(reply.nodes)} at {target}")
         return EXIT_LAGGING if lagging and wait else EXIT_OK
 
     def drain(self, service, endpoint, cancel=False):
-        """Have all nodes give an endpoint no new work, or take that back."""
+        """Drain an endpoint on all nodes, or cancel the drain."""
         request = pb.DrainRequest(service=service, endpoint=endpoint, cancel=cancel)
         reply = self._call("Drain", request)
         if reply is None:
             return EXIT_NO_ANSWER
         if reply.reason:
-            complain(reply.reason)
+            print_error(reply.reason)
             return EXIT_INVALID
-        print(f"told to this node and {reply.nodes_told} others")
+        print(f"announced to this node and {reply.nodes_told} others")
         return EXIT_OK
 
     def explain(self, method, path):
-        """Say how the node would route a request now, and why."""
+        """Print how the node would route a request now, and why."""
         request = pb.ExplainRequest(method=method.upper(), path=path)
         reply = self._call("Explain", request)
         if reply is None:
             return EXIT_NO_ANSWER
         if reply.reason:
-            complain(reply.reason)
+            print_error(reply.reason)
             return EXIT_INVALID
         print(f"{reply.service}, route {reply.route}, policy {reply.policy}")
         for item in reply.candidates:
@@ -278,13 +281,13 @@
         return EXIT_OK
 
 
-def describe_node(node, wanted):
-    """Return one line on a node."""
+def describe_node(node, target):
+    """Return the status line of a node."""
     if node.unreachable:
-        return f"{node.data_centre} {node.node}: not heard from ({node.unreachable})"
+        return f"{node.data_centre} {node.node}: unreachable ({node.unreachable})"
     state = "ready" if node.ready else "not ready"
     source = "relay" if node.relay else f"from {node.parent or 'nobody'}"
-    lag = "" if node.revision >= wanted else f", {wanted - node.revision} behind"
+    lag = "" if node.revision >= target else f", {target - node.revision} behind"
     age = node.confirmed_age_ms / 1000
     confirmed = f"confirmed {age:.1f} s ago" if age < 1e9 else "never confirmed"
     return (
--- a/packages/hingesill-cli/hingesill_cli/main.py
+++ b/packages/hingesill-cli/hingesill_cli/main.py
@@ -1,4 +1,4 @@
-"""The binary ``hingesill``."""
+"""Entry point of the program ``hingesill``."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def run():
-    """Entry point of the binary; a command's code becomes the exit code."""
+    """Run a command and exit with the code that it returns."""
     code = fire.Fire(Commands, serialize=lambda result: "")
     sys.exit(code if isinstance(code, int) else 0)
 
--- a/packages/hingesill-cli/hingesill_cli/tests/test_breakdown.py
+++ b/packages/hingesill-cli/hingesill_cli/tests/test_breakdown.py
@@ -1,4 +1,4 @@
-"""Tests of telling where the time of requests went."""
+"""Tests of the latency breakdown of requests."""
 
 import contextlib
 import io
@@ -62,7 +62,7 @@
         _, lines, _ = self.break_down(self.file, seconds=60)
         self.assertEqual(len(lines), 2)
 
-    def test_logs_without_requests(self):
+    def test_logs_without_requests_give_an_error(self):
         self.write(build_line(3001, "the store does not answer"))
         code, _, err = self.break_down(self.file)
         self.assertEqual(code, EXIT_NO_ANSWER)
--- a/packages/hingesill-cli/hingesill_cli/tests/test_trace.py
+++ b/packages/hingesill-cli/hingesill_cli/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""Tests of telling a request's story from log files."""
+"""Tests of tracing a request through log files."""
 
 import contextlib
 import io
@@ -42,7 +42,7 @@
             code = Commands().trace(*arguments)
         return code, out.getvalue(), err.getvalue()
 
-    def test_story_with_what_was_known(self):
+    def test_trace_with_events_of_node_and_endpoints(self):
         code, out, _ = self.trace("abc", self.file)
         self.assertEqual(code, EXIT_OK)
         for words in ("9ms sent i-2", "does not answer", "endpoint=i-2"):
@@ -54,7 +54,7 @@
         self.assertEqual(code, EXIT_NO_ANSWER)
         self.assertIn("xyz", err)
 
-    def test_file_that_is_not_there(self):
+    def test_missing_file(self):
         code, _, err = self.trace("abc", "/nowhere.log")
         self.assertEqual(code, EXIT_INVALID)
         self.assertIn("/nowhere.log: No such file", err)
--- a/packages/hingesill-cli/hingesill_cli/trace.py
+++ b/packages/hingesill-cli/hingesill_cli/trace.py
@@ -1,16 +1,16 @@
-"""The story of one request, put together from nodes' log files."""
+"""Trace of one request, assembled from nodes' log files."""
 
 import json
 from dataclasses import dataclass, field
 
-__all__ = ["Line", "find_story", "read_lines", "write_story"]
+__all__ = ["Line", "find_traces", "format_trace", "read_lines"]
 
 # Event numbers; docs/EVENTS.md lists them.
 REQUEST_EVENTS = frozenset({6001, 6002, 6003})
 ENDPOINT_EVENTS = frozenset({4001, 4002, 4003, 4004})
 NODE_EVENTS = range(1000, 4000)
-# So many events of the node before the request are shown.
-EVENTS_SHOWN = 5
+# Number of the node's events before the end of the request that are printed.
+MAX_NODE_EVENTS = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,11 +20,11 @@
     Parameters
     ----------
     time, node, text : str
-        When, where and what happened.
+        Time, node and message.
     event : int
-        Its number.
+        Number of the event.
     fields : dict
-        Everything else.
+        All other fields.
     """
 
     time: str
@@ -35,17 +35,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
-    """What the logs tell of one request.
+class Trace:
+    """Log events that concern one request.
 
     Parameters
     ----------
     request : Line
-        Its end.
+        Event at the end of the request.
     node : list of Line
-        The last events of its node before that.
+        Last events of its node before the end.
     endpoints : list of Line
-        Events of the endpoints that it was sent to, at any node.
+        Events of any node about the endpoints to which the request was sent.
     """
 
     request: Line
@@ -59,7 +59,7 @@
     Parameters
     ----------
     files : iterable of str
-        Paths. What stands before the JSON of a line is passed over.
+        Paths. Text before the JSON of a line is ignored.
 
     Raises
     ------
@@ -75,7 +75,7 @@
 
 
 def parse_line(text):
-    """Return the event of a line, or None if it holds none."""
+    """Return the event of a line, or None if the line contains none."""
     start = text.find("{")
     if start < 0:
         return None
@@ -92,27 +92,27 @@
         return None
 
 
-def find_story(lines, request_id):
-    """Yield a Story for each node that ended a request of this id."""
+def find_traces(lines, request_id):
+    """Yield a Trace for each node that completed a request with this ID."""
     lines = list(lines)
     for end in lines:
         if end.event in REQUEST_EVENTS and end.fields.get("request") == request_id:
-            yield Story(end, find_node_events(lines, end), find_endpoints(lines, end))
+            yield Trace(end, find_node_events(lines, end), find_endpoints(lines, end))
 
 
 def find_node_events(lines, end):
-    """Return the last events of the request's node before its end."""
+    """Return the last events of the request's node before the request's end."""
     found = [
         line
         for line in lines
         if line.node == end.node and line.event in NODE_EVENTS and line.time <= end.time
     ]
-    return found[-EVENTS_SHOWN:]
+    return found[-MAX_NODE_EVENTS:]
 
 
 def find_endpoints(lines, end):
-    """Return events of the endpoints that a request was sent to."""
-    sent = {
+    """Return events about the endpoints to which a request was sent."""
+    endpoints = {
         step.split()[2]
         for step in end.fields.get("steps", ())
         if len(step.split()) > 2 and step.split()[1] in ("sent", "hedged")
@@ -120,13 +120,13 @@
     return [
         line
         for line in lines
-        if line.event in ENDPOINT_EVENTS and line.fields.get("endpoint") in sent
+        if line.event in ENDPOINT_EVENTS and line.fields.get("endpoint") in endpoints
     ]
 
 
-def write_story(story):
-    """Yield the lines of a story in plain words."""
-    end = story.request
+def format_trace(trace):
+    """Yield the lines of a trace as text."""
+    end = trace.request
     fields = end.fields
     outcome = fields.get("outcome")
     reason = f", reason {fields['reason']}" if fields.get("reason") else ""
@@ -138,12 +138,12 @@
     )
     for step in fields.get("steps", ()):
         yield f"    {step}"
-    yield from write_events("what the node knew", story.node)
-    yield from write_events("what nodes knew of the endpoints", story.endpoints)
+    yield from format_events("what the node knew", trace.node)
+    yield from format_events("what nodes knew of the endpoints", trace.endpoints)
 
 
-def write_events(title, lines):
-    """Yield a titled list of events."""
+def format_events(title, lines):
+    """Yield the lines of a list of events with a title."""
     if lines:
         yield f"  {title}:"
     for line in lines:
--- a/packages/hingesill-node/hingesill_node/admin.py
+++ b/packages/hingesill-node/hingesill_node/admin.py
@@ -32,7 +32,7 @@
         page = self.pages.get(environ["PATH_INFO"])
         if page is None:
             start_response("404 Not Found", PLAIN)
-            return [f"not found; available: {', '.join(self.pages)}\n".encode()]
+            return [f"{', '.join(self.pages)} are available\n".encode()]
         return page(start_response)
 
     def _show_ready(self, start_response):
--- a/packages/hingesill-node/hingesill_node/blackboard.py
+++ b/packages/hingesill-node/hingesill_node/blackboard.py
@@ -69,17 +69,17 @@
     in_flight: int = 0
     _watchers: dict = field(default_factory=lambda: defaultdict(list))
 
-    def watch(self, name, react):
+    def watch(self, name, callback):
         """Register a function to call after each write of a field."""
-        self._watchers[name].append(react)
+        self._watchers[name].append(callback)
 
     def write(self, name, value):
         """Write a field and call its watchers."""
         if name not in self.__struct_fields__:
             raise AttributeError(f"the blackboard has no field {name!r}")
         setattr(self, name, value)
-        for react in self._watchers[name]:
-            react()
+        for callback in self._watchers[name]:
+            callback()
 
     @property
     def is_ready(self):
--- a/packages/hingesill-node/hingesill_node/lifecycle.py
+++ b/packages/hingesill-node/hingesill_node/lifecycle.py
@@ -50,16 +50,16 @@
     def _review(self):
         phase = self.blackboard.phase
         if self._is_isolated():
-            wanted = Phase.ISOLATED
+            new_phase = Phase.ISOLATED
         elif self.control.is_initialized():
-            wanted = Phase.SERVING
+            new_phase = Phase.SERVING
         else:
-            wanted = Phase.STARTING
-        if wanted is not phase:
-            self.blackboard.write("phase", wanted)
-            if wanted is Phase.ISOLATED:
+            new_phase = Phase.STARTING
+        if new_phase is not phase:
+            self.blackboard.write("phase", new_phase)
+            if new_phase is Phase.ISOLATED:
                 log_event(Event.ISOLATED)
-            ready = wanted is Phase.SERVING
+            ready = new_phase is Phase.SERVING
             log_event(Event.NODE_READY if ready else Event.NODE_NOT_READY)
 
     def _is_isolated(self):
--- a/packages/hingesill-node/hingesill_node/reload.py
+++ b/packages/hingesill-node/hingesill_node/reload.py
@@ -44,16 +44,16 @@
 
     def reload(self, requested):
         """Read the settings and apply those that have changed."""
-        found = self.load()
-        if isinstance(found, Findings):
-            log_event(Event.RELOAD_REFUSED, findings=[str(item) for item in found])
+        loaded = self.load()
+        if isinstance(loaded, Findings):
+            log_event(Event.RELOAD_REFUSED, findings=[str(item) for item in loaded])
             return
-        changed = find_changes(self.settings, found)
+        changed = find_changes(self.settings, loaded)
         if not changed and not requested:
             return
-        in_force = self.apply(found) if changed else []
+        in_force = self.apply(loaded) if changed else []
         deferred = [name for name in changed if name not in in_force]
-        self.settings = found
+        self.settings = loaded
         log_event(
             Event.RELOADED, asked=requested, in_force=in_force, at_next_start=deferred
         )
--- a/packages/hingesill-node/hingesill_node/settings.py
+++ b/packages/hingesill-node/hingesill_node/settings.py
@@ -1,4 +1,4 @@
-"""The node's settings, checked; `environment` reads them."""
+"""Settings of a node and their validation; `environment` reads them."""
 
 import os
 import socket
@@ -17,7 +17,7 @@
 
 
 def check_listening(value):
-    """Check an address to listen on; port 0 is a free one."""
+    """Validate an address to listen on; port 0 selects a free port."""
     host, _, port = value.rpartition(":")
     if port == "0":
         check_address(f"{host}:1")
@@ -26,12 +26,12 @@
 
 
 def check_scheme(find_registry):
-    """Return a check that a value's scheme is registered.
+    """Return a function that checks that a value's scheme is registered.
 
     Parameters
     ----------
     find_registry : callable
-        Returns the registry. It is called for a value only, so that a node
+        Returns the registry. It is called only if there is a value, so that a node
         without one does not load the adapters.
     """
 
@@ -41,30 +41,30 @@
         registry = find_registry()
         scheme = value.partition("://")[0]
         if registry.get(scheme) is None:
-            known = ", ".join(registry.list_names())
-            raise ValueError(f"the scheme is one of {known}")
+            names = ", ".join(registry.list_names())
+            raise ValueError(f"the scheme must be one of {names}")
         return value
 
     return check
 
 
 def check_authoriser(value):
-    """Check that an authoriser is registered."""
+    """Validate that an authoriser is registered."""
     from hingesill_node.control.authorisation import AUTHORISERS
 
     if AUTHORISERS.get(value) is None:
-        known = ", ".join(AUTHORISERS.list_names())
-        raise ValueError(f"it is one of {known}")
+        names = ", ".join(AUTHORISERS.list_names())
+        raise ValueError(f"must be one of {names}")
     return value
 
 
 def make_suffix():
-    """Return random characters that tell a process from all others of its name."""
+    """Return a random suffix that distinguishes processes of the same name."""
     return os.urandom(SUFFIX_BYTES).hex()
 
 
 def make_name():
-    """Return a name that no other node ever has."""
+    """Return a node name that is unique over time."""
     return f"{socket.gethostname()}-{make_suffix()}"
 
 
@@ -76,69 +76,67 @@
 
 
 def find_lists():
-    """Return the registry of lists of VMs."""
+    """Return the registry of VM lists."""
     from hingesill_node.control.vmlist import LISTS
 
     return LISTS
 
 
 class Settings(Struct, frozen=True, kw_only=True):
-    """Everything that a node is told; each field is a flag and a variable.
+    """Settings of a node; each field is a flag and an environment variable.
 
     Notes
     -----
-    `build_settings` checks what is given; the class by itself checks no types.
+    `build_settings` validates the values; the class itself checks no types.
     """
 
     name: Annotated[
         str,
         Meta(
             pattern="^[A-Za-z0-9._-]{1,100}$",
-            description="The node's name; no two processes ever share one.",
+            description="Name of the node; never shared by two processes.",
         ),
     ] = field(default_factory=make_name)
     vm: Annotated[
         str,
         Meta(
             pattern="^[A-Za-z0-9._-]{0,100}$",
-            description="With a directory: the VM's name, under which the node is "
-            "entered; a node that starts anew there takes the old one's "
-            "place. Empty for the node's name.",
+            description="With a directory: name of the VM, under which the node is "
+            "registered; a node that restarts on the VM replaces the earlier "
+            "registration. Empty for the node's name.",
         ),
     ] = ""
     team: Annotated[
-        str, Meta(pattern=NAME, description="First part of all keys in the store.")
+        str, Meta(pattern=NAME, description="Prefix of all keys in the store.")
     ] = "hingesill"
     data_centre: Annotated[
-        str, Meta(pattern=NAME, description="Where the node runs.")
+        str, Meta(pattern=NAME, description="Data centre of the node.")
     ] = "local"
     regions: Annotated[
         str,
         Meta(
             pattern=r"^([^=,\s]+=[^=,\s]+(,[^=,\s]+=[^=,\s]+)*)?$",
-            description="With a directory: the region of each data centre, as "
-            "DATA_CENTRE=REGION by commas.",
+            description="With a directory: region of each data centre, as "
+            "comma-separated DATA_CENTRE=REGION.",
         ),
     ] = ""
-    address: Annotated[str, Meta(description="Where callers connect, as IP:PORT.")] = (
-        "127.0.0.1:8080"
-    )
+    address: Annotated[str, Meta(description="IP:PORT for callers.")] = "127.0.0.1:8080"
     control_address: Annotated[
-        str, Meta(description="Where operators and other nodes connect.")
+        str, Meta(description="IP:PORT for operators and other nodes.")
     ] = "127.0.0.1:8081"
     admin_address: Annotated[
-        str, Meta(description="Where /ready and /metrics are.")
+        str, Meta(description="IP:PORT of /ready and /metrics.")
     ] = "127.0.0.1:8082"
-    store: Annotated[str, Meta(description="The platform's key-value service.")] = (
-        "http://127.0.0.1:8500"
-    )
+    store: Annotated[
+        str, Meta(description="URL of the platform's key-value service.")
+    ] = "http://127.0.0.1:8500"
     vm_list: Annotated[
-        str, Meta(description="The platform's list of VMs; empty for none.")
+        str, Meta(description="URL of the platform's list of VMs; empty for none.")
     ] = ""
     directory: Annotated[
         str,
         Meta(
-            description="A store that holds declarations and endpoints; empty to "
+            description="URL of a store with declarations and endpoints; empty to "
             "follow hingesill's own change log in `store`.",
         ),
     ] = ""
@@ -146,7 +144,7 @@
         str,
         Meta(
             pattern=r"^/[^?#\s]*$",
-            description="Where the platform's balancer asks whether the node is ready.",
+            description="Path that the platform's balancer polls for readiness.",
         ),
     ] = "/ready"
     probes_per_second: Annotated[
@@ -154,8 +152,8 @@
         Meta(
             ge=0,
             le=1000,
-            description="With a directory: probes an endpoint and second, over the "
-            "fleet.",
+            description="With a directory: probes per endpoint and second, over the "
+            "whole fleet.",
         ),
     ] = 10.0
     probe_window_s: Annotated[
@@ -163,19 +161,25 @@
         Meta(
             ge=1,
             le=300,
-            description="With a directory: seconds over which probes are counted.",
+            description="With a directory: window in seconds of the probe limit.",
         ),
     ] = 10.0
     hedge_share: Annotated[
         float,
         Meta(
-            ge=0, le=0.5, description="With a directory: hedges that a request earns."
+            ge=0,
+            le=0.5,
+            description="With a directory: hedges that each request adds to the "
+            "budget.",
         ),
     ] = 0.04
     retry_share: Annotated[
         float,
         Meta(
-            ge=0, le=0.5, description="With a directory: retries that a request earns."
+            ge=0,
+            le=0.5,
+            description="With a directory: retries that each request adds to the "
+            "budget.",
         ),
     ] = 0.02
     store_writes_per_second: Annotated[
@@ -183,8 +187,8 @@
         Meta(
             ge=1,
             le=1_000_000,
-            description="With a directory: writes a second that the store takes of all "
-            "nodes together.",
+            description="With a directory: writes per second that the store accepts "
+            "from all nodes together.",
         ),
     ] = 400.0
     extra_sends: Annotated[
@@ -192,8 +196,8 @@
         Meta(
             ge=0,
             le=100_000,
-            description="With a directory: hedges and retries that the fleet may make "
-            "at once; 0 for ten a node.",
+            description="With a directory: burst of hedges and retries of the whole "
+            "fleet; 0 for ten per node.",
         ),
     ] = 0.0
     queue_limit: Annotated[
@@ -201,19 +205,19 @@
         Meta(
             ge=0,
             le=100_000,
-            description="With a directory: requests of a service that wait at the "
-            "node.",
+            description="With a directory: maximum number of queued requests per "
+            "service at the node.",
         ),
     ] = 64
     services: Annotated[
-        str, Meta(description="Hold only these, by commas; empty for all.")
+        str, Meta(description="Services to load, comma-separated; empty for all.")
     ] = ""
     fleet_limit: Annotated[
         int,
         Meta(
             ge=1,
             le=100_000,
-            description="The most node processes that ever run at once.",
+            description="Maximum number of node processes that run at once.",
         ),
     ] = 18
     strength: Annotated[
@@ -221,24 +225,27 @@
         Meta(
             gt=0,
             le=1024,
-            description="With a directory: processor time that the node may use, in "
-            "cores. The strongest nodes of a data centre watch the store "
-            "for the others.",
+            description="With a directory: CPU time that the node may use, in cores. "
+            "The nodes with the most CPU time in a data centre watch the store for "
+            "the others.",
         ),
     ] = 1.0
     reuse_port: Annotated[
-        bool, Meta(description="Share the callers' port with other nodes.")
+        bool, Meta(description="Share the port for callers with other nodes.")
     ] = False
     max_body_bytes: Annotated[
-        int, Meta(ge=0, description="Longest body passed on.")
-    ] = (64 * 1024 * 1024)
+        int,
+        Meta(ge=0, description="Maximum size in bytes of a body that is passed on."),
+    ] = (
+        64 * 1024 * 1024
+    )
     balancer_lag_s: Annotated[
         float,
         Meta(
             ge=0,
             le=300,
-            description="How long the platform's balancer may still send after /ready "
-            "says no.",
+            description="Seconds for which the platform's balancer may still send "
+            "requests after /ready reports not ready.",
         ),
     ] = 3.0
     stop_bound_s: Annotated[
@@ -246,7 +253,7 @@
         Meta(
             ge=0,
             le=3600,
-            description="How long a planned stop waits for requests in flight.",
+            description="Seconds that a planned stop waits for requests in flight.",
         ),
     ] = 60.0
     isolation_s: Annotated[
@@ -254,17 +261,25 @@
         Meta(
             ge=1,
             le=3600,
-            description="A node that hears neither store nor nodes is not ready after "
-            "this.",
+            description="Seconds without contact to the store and to other nodes, "
+            "after which a node is not ready.",
         ),
     ] = 30.0
-    authoriser: Annotated[str, Meta(description="Who may change what.")] = "open"
-    authors_file: Annotated[str, Meta(description="For the authoriser tokens.")] = ""
+    authoriser: Annotated[
+        str, Meta(description="Authoriser, which decides who may change what.")
+    ] = "open"
+    authors_file: Annotated[
+        str, Meta(description="File of authors for the authoriser `tokens`.")
+    ] = ""
     tls_certificate: Annotated[
-        str, Meta(description="Certificate of the control port, PEM.")
+        str, Meta(description="Certificate of the control port, PEM file.")
+    ] = ""
+    tls_key: Annotated[
+        str, Meta(description="Private key of that certificate, PEM file.")
+    ] = ""
+    tls_ca: Annotated[
+        str, Meta(description="CA that signs accepted certificates, PEM file.")
     ] = ""
-    tls_key: Annotated[str, Meta(description="Its key, PEM.")] = ""
-    tls_ca: Annotated[str, Meta(description="Whose certificates are taken, PEM.")] = ""
     log_level: Annotated[
         Literal["DEBUG", "INFO", "WARNING", "ERROR"],
         Meta(description="Lowest level of log events."),
@@ -274,21 +289,21 @@
         Meta(
             ge=0.00001,
             le=0.1,
-            description="How long a thread may keep the interpreter.",
+            description="Seconds that a thread may hold the interpreter lock.",
         ),
     ] = 0.0005
     probing: Annotated[bool, Meta(description="Take part in probing.")] = True
 
     def __post_init__(self):
-        """Check that the files named can be read."""
+        """Validate that files can be read and that dependent settings are given."""
         for name in ("tls_certificate", "tls_key", "tls_ca", "authors_file"):
             path = getattr(self, name)
             if path and not os.access(path, os.R_OK):
                 raise ValueError(f"{name}: {path} cannot be read")
         if bool(self.tls_certificate) != bool(self.tls_key):
-            raise ValueError("tls_certificate and tls_key go together")
+            raise ValueError("tls_certificate and tls_key must be given together")
         if self.authoriser == "tokens" and not self.authors_file:
-            raise ValueError("authors_file is needed for the authoriser tokens")
+            raise ValueError("the authoriser tokens requires authors_file")
 
 
 CHECKS = {
@@ -303,15 +318,15 @@
 
 
 def build_settings(values):
-    """Return Settings, or Findings with every fault.
+    """Return Settings, or Findings with all errors.
 
     Parameters
     ----------
     values : dict
-        By setting's name; numbers may be given as text.
+        Values by name of setting; numbers may be given as text.
     """
     findings = Findings()
     for name in values:
         if name not in Settings.__struct_fields__:
-            findings.add(name, "there is no such setting")
+            findings.add(name, "unknown setting")
     return findings or build_model(Settings, values, CHECKS)
--- a/packages/hingesill-node/hingesill_node/tests/test_bundle.py
+++ b/packages/hingesill-node/hingesill_node/tests/test_bundle.py
@@ -38,11 +38,11 @@
 
     def run_python(self, text, **values):
         text = textwrap.dedent(text).format(path=self.path, **values)
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", text], capture_output=True, text=True, timeout=30
         )
-        self.assertEqual(done.returncode, 0, done.stderr)
-        return done.stdout
+        self.assertEqual(result.returncode, 0, result.stderr)
+        return result.stdout
 
     def write(self, lazy=()):
         return self.run_python(WRITE, folder=str(self.folder), lazy=tuple(lazy))
--- a/packages/hingesill-node/hingesill_node/tests/test_reload.py
+++ b/packages/hingesill-node/hingesill_node/tests/test_reload.py
@@ -10,8 +10,8 @@
 class ReloadTests(unittest.TestCase):
     def setUp(self):
         self.applied = []
-        self.found = Settings(name="n1")
-        self.reloader = Reloader(Settings(name="n1"), lambda: self.found, self.apply)
+        self.loaded = Settings(name="n1")
+        self.reloader = Reloader(Settings(name="n1"), lambda: self.loaded, self.apply)
 
     def apply(self, settings):
         self.applied.append(settings)
@@ -22,12 +22,12 @@
         self.assertEqual(self.applied, [])
 
     def test_a_new_name_is_not_a_change(self):
-        self.found = Settings(name="n2")
+        self.loaded = Settings(name="n2")
         self.reloader.reload(requested=False)
         self.assertEqual(self.applied, [])
 
     def test_a_change_is_applied_once(self):
-        self.found = Settings(name="n1", queue_limit=7)
+        self.loaded = Settings(name="n1", queue_limit=7)
         self.reloader.reload(requested=False)
         self.reloader.reload(requested=False)
         self.assertEqual([s.queue_limit for s in self.applied], [7])
@@ -35,7 +35,7 @@
     def test_invalid_settings_leave_the_old_ones_in_force(self):
         findings = Findings()
         findings.add("boot.toml", "is no TOML")
-        self.found = findings
+        self.loaded = findings
         self.reloader.reload(requested=True)
         self.assertEqual(self.applied, [])
         self.assertEqual(self.reloader.settings.name, "n1")
