--- a/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
+++ b/packages/hingesill-node/hingesill_node/discovery/tests/test_relaying.py
@@ -206,7 +206,7 @@
     def test_an_unreachable_relay_is_logged(self):
         with self.assertLogs("hingesill") as logs:
             self.report(NodeRecord("x", "127.0.0.1:1", "a"))
-        self.assertIn("a relay did not take", logs.output[0])
+        self.assertIn("a relay did not accept observations", logs.output[0])
 
     def test_an_invalid_report_is_refused(self):
         connection = EndpointConnection(self.relay.node.address)
