--- a/packages/hingesill-cli/hingesill_cli/breakdown.py
+++ b/packages/hingesill-cli/hingesill_cli/breakdown.py
@@ -26,7 +26,7 @@
 
     Attributes
     ----------
-    queue_times, endpoint_times, total_times : list of int
+    wait_times, endpoint_times, total_times : list of int
         Milliseconds before the first send, from the last send to the answer, and of
         the whole request.
     hedged, retried, unqueried : int
@@ -36,7 +36,7 @@
         Sends by the endpoint's slots in use, and refusals by reason.
     """
 
-    queue_times: list = field(default_factory=list)
+    wait_times: list = field(default_factory=list)
     endpoint_times: list = field(default_factory=list)
     total_times: list = field(default_factory=list)
     hedged: int = 0
@@ -58,7 +58,7 @@
         if fields.get("reason"):
             self.refusals[fields["reason"]] += 1
         if sends:
-            self.queue_times.append(int(sends[0][1]))
+            self.wait_times.append(int(sends[0][1]))
         if sends and not fields.get("reason"):
             self.endpoint_times.append(milliseconds - int(sends[-1][1]))
 
@@ -98,7 +98,7 @@
         time = datetime.fromtimestamp(start).strftime("%H:%M:%S")
         yield (
             f"{time}  {service[:12]:12}  {len(window.total_times):8}"
-            f"  {format_quantiles(window.queue_times, 0.5, 0.9):>13}"
+            f"  {format_quantiles(window.wait_times, 0.5, 0.9):>13}"
             f"  {format_quantiles(window.endpoint_times, 0.5, 0.9):>17}"
             f"  {format_quantiles(window.total_times, 0.5, 0.99):>12}"
             f"  {window.hedged:6}"
--- a/packages/hingesill-node/hingesill_node/lifecycle.py
+++ b/packages/hingesill-node/hingesill_node/lifecycle.py
@@ -94,7 +94,7 @@
         return is_quiet
 
     def _wait_until_quiet(self):
-        """Wait until no request has been in flight for ``QUIET_SECONDS``.
+        """Return whether `QUIET_SECONDS` passed without requests before the timeout.
 
         Notes
         -----
