--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform and the endpoints; used by tests, never shipped."""
+"""Test doubles of the platform and the endpoints; not part of a release."""
 
 import warnings
 
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,8 +1,8 @@
-"""A stand-in for an endpoint: slots, a queue, and faults on demand.
+"""A test endpoint with a fixed number of slots, a queue and injected faults.
 
-``PUT /standin/faults`` takes a JSON object with any of `FAULTS`. ``GET
-/standin/record`` tells how often each request id ran, and counts. The record is
-what checkers compare with what callers were told.
+``PUT /standin/faults`` sets the faults: a JSON object with any keys of `FAULTS`.
+``GET /standin/record`` returns how often each request id ran, and counters. Checkers
+compare this record with the responses that callers received.
 """
 
 import json
@@ -22,36 +22,36 @@
 __all__ = ["EndpointApplication", "EndpointServer", "FAULTS"]
 
 FAULTS = {
-    "service_ms": "mean time in a slot",
-    "slow_factor": "times that",
-    "drain": "say that it is leaving",
-    "cold": "say that it has just started",
-    "away_s": "end now, with all that runs, and start again there after so long",
-    "limit": "name so many requests a second that it takes from all nodes",
-    "shed_above": "refuse as not run when more than this many are there",
-    "rest_s": "ask for so many seconds of rest when it refuses",
-    "fail_fast": "answer 500 at once",
-    "hang": "never answer",
-    "reset_before": "run it, then reset before the first byte",
-    "reset_after": "reset in the middle of the body",
+    "service_ms": "mean service time in a slot, in milliseconds",
+    "slow_factor": "factor by which the service time is multiplied",
+    "drain": "report in each response that the endpoint is draining",
+    "cold": "report in each response that the endpoint is cold",
+    "away_s": "crash now, and restart on the same port after this many seconds",
+    "limit": "rate limit to report, in requests per second from all nodes",
+    "shed_above": "refuse as not run while more requests than this are present",
+    "rest_s": "Retry-After of refusals, in seconds",
+    "fail_fast": "respond with status 500 without running the request",
+    "hang": "delay each request for 30 s",
+    "reset_before": "run the request, then reset the connection before the first byte",
+    "reset_after": "break the connection in the middle of the body",
     "short": "end the body early",
-    "late_ms": "hold the finished answer back",
-    "lie_running": "report this load whatever it is",
-    "body_bytes": "length of the body",
-    "noise_period_s": "slow down once in about so long",
-    "noise_length_s": "for so long",
-    "noise_factor": "by so much",
-    "seed": "start the random source again",
+    "late_ms": "delay of the finished response, in milliseconds",
+    "lie_running": "number of running requests to report in place of the real one",
+    "body_bytes": "minimum length of the response body",
+    "noise_period_s": "mean pause between slow periods, in seconds",
+    "noise_length_s": "length of a slow period, in seconds",
+    "noise_factor": "slow-down factor during a slow period",
+    "seed": "seed of the random source, which is reset",
 }
 SLOTS = 3
 SERVICE_MS = 4.0
-MOST_CONNECTIONS = 10_000
-# Before it ends an endpoint answers who told it to.
-ANSWER_SECONDS = 0.01
+MAX_CONNECTIONS = 10_000
+# Time for the response to the request that sets the fault, before a crash.
+RESPONSE_SECONDS = 0.01
 
 
 class EndpointApplication:
-    """A WSGI application that takes time in one of few slots."""
+    """A WSGI application that serves requests in a limited number of slots."""
 
     def __init__(self, slots=SLOTS, service_ms=SERVICE_MS, seed=0):
         self.slots = Semaphore(slots)
@@ -70,10 +70,10 @@
         self.arrived_slow = 0
         self.noise_from = 0.0
         self.noise_until = 0.0
-        self.start_again = lambda away: None
+        self.restart = lambda away: None
 
     def __call__(self, environ, start_response):
-        """Answer one request; see PEP 3333."""
+        """Handle one request; see PEP 3333."""
         path = environ["PATH_INFO"]
         if path.startswith("/standin/"):
             return self.handle_standin(path, environ, start_response)
@@ -87,13 +87,13 @@
         return self.run(environ, start_response)
 
     def handle_standin(self, path, environ, start_response):
-        """Set faults or tell the record."""
+        """Set the faults, if requested, and return the record."""
         if path == "/standin/faults":
             self.faults = json.loads(environ["wsgi.input"].read() or b"{}")
             self.random = random.Random(f"{self.seed} {self.faults.get('seed')}")
             self.noise_from = self.noise_until = 0.0
             if self.faults.get("away_s"):
-                self.start_again(self.faults["away_s"])
+                self.restart(self.faults["away_s"])
         content = {
             "ran": self.ran,
             "running": self.running,
@@ -108,40 +108,40 @@
         start_response("200 OK", [("Content-Type", "application/json")])
         return [json.dumps(content).encode()]
 
-    def forget(self):
-        """Begin another life, which knows nothing but what has run before it."""
+    def reset_state(self):
+        """Start a new incarnation: reset everything but the counters of the record."""
         self.faults = {"service_ms": self.service_ms}
         self.slots = Semaphore(SLOTS)
         self.running = 0
 
     def shed(self, start_response):
-        """Refuse: it did not run."""
+        """Refuse the request as not run."""
         self.refused += 1
-        headers = [("Hingesill-Outcome", "not-run"), *self.list_signs()]
+        headers = [("Hingesill-Outcome", "not-run"), *self.list_state_headers()]
         if self.faults.get("rest_s"):
             headers.append(("Retry-After", str(self.faults["rest_s"])))
         start_response("503 Service Unavailable", headers)
         return [b"full\n"]
 
-    def list_signs(self):
-        """Return the headers that tell load and state."""
+    def list_state_headers(self):
+        """Return the headers that report load and state."""
         faults = self.faults
         running = faults.get("lie_running", max(0, self.running))
-        signs = [("Hingesill-Running", str(running))]
+        headers = [("Hingesill-Running", str(running))]
         if faults.get("drain"):
-            signs.append(("Hingesill-Draining", "1"))
+            headers.append(("Hingesill-Draining", "1"))
         if faults.get("cold"):
-            signs.append(("Hingesill-Cold", "1"))
+            headers.append(("Hingesill-Cold", "1"))
         if faults.get("limit") is not None:
-            signs.append(("Hingesill-Limit", str(faults["limit"])))
-        return signs
+            headers.append(("Hingesill-Limit", str(faults["limit"])))
+        return headers
 
     def run(self, environ, start_response):
-        """Take a slot, spend time there, answer."""
+        """Occupy a slot for the service time, then respond."""
         faults = self.faults
         request_id = environ.get("HTTP_HINGESILL_REQUEST_ID", "")
         if faults.get("fail_fast"):
-            start_response("500 Internal Server Error", self.list_signs())
+            start_response("500 Internal Server Error", self.list_state_headers())
             return [b"fault\n"]
         body = environ["wsgi.input"].read()
         arrived = time.monotonic()
@@ -152,7 +152,7 @@
             if faults.get("hang"):
                 eventlet.sleep(30)
             with self.slots:
-                if self.is_of_no_use(environ, arrived):
+                if self.is_obsolete(environ, arrived):
                     self.cancelled += 1
                     return self.shed(start_response)
                 self.ran[request_id] += 1
@@ -161,8 +161,8 @@
             self.running -= 1
         return self.answer(environ, start_response, request_id, body)
 
-    def is_of_no_use(self, environ, arrived):
-        """Tell whether a request's time is up or its caller is gone."""
+    def is_obsolete(self, environ, arrived):
+        """Return whether a request's deadline has passed or its caller has gone."""
         remaining = environ.get("HTTP_HINGESILL_REMAINING_MS")
         if remaining and time.monotonic() > arrived + int(remaining) / 1000:
             return True
@@ -173,7 +173,7 @@
             return False
 
     def spend_time(self, environ):
-        """Spend the time of one request in a slot."""
+        """Wait for the service time of one request."""
         faults = self.faults
         seconds = faults.get("service_ms", 4.0) / 1000
         seconds *= 0.5 + self.random.random()
@@ -186,7 +186,7 @@
         self.busy_s += time.monotonic() - started
 
     def get_factor(self, now):
-        """Return how many times slower the endpoint is at a time."""
+        """Return the factor of the service time at a time."""
         faults = self.faults
         factor = faults.get("slow_factor", 1.0)
         period = faults.get("noise_period_s")
@@ -201,7 +201,7 @@
         return factor
 
     def answer(self, environ, start_response, request_id, body):
-        """Answer with the request's own words, so that a mix-up shows."""
+        """Respond with data of the request, so that a swapped response is detected."""
         faults = self.faults
         if faults.get("late_ms"):
             eventlet.sleep(faults["late_ms"] / 1000)
@@ -218,7 +218,7 @@
             }
         ).encode()
         content = content.ljust(faults.get("body_bytes", 0), b" ")
-        headers = [("Content-Type", "application/json"), *self.list_signs()]
+        headers = [("Content-Type", "application/json"), *self.list_state_headers()]
         headers.append(("Content-Length", str(len(content))))
         start_response("200 OK", headers)
         if faults.get("short") or faults.get("reset_after"):
@@ -227,13 +227,13 @@
         return [content]
 
     def end_early(self, content):
-        """Yield half of the body, then break."""
+        """Yield half of the body, then break the connection."""
         yield content[: len(content) // 2]
         raise ConnectionResetError
 
 
 def reset(environ):
-    """Reset the connection of a request before its answer."""
+    """Reset the connection of a request before its response."""
     sock = environ["eventlet.input"].get_socket().fd
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.shutdown(socket.SHUT_RDWR)
@@ -241,27 +241,27 @@
 
 
 class EndpointServer:
-    """Serves one endpoint in green threads; it may end and start again at its port.
+    """An endpoint served in green threads that can restart on its port.
 
     Parameters
     ----------
     application : EndpointApplication
-        What it serves.
+        Application to serve.
     log : file
-        Gets what the server says.
+        Output of the server's log.
     """
 
     def __init__(self, application, log):
         self.application = application
         self.log = log
-        application.start_again = lambda away: eventlet.spawn(self._start_again, away)
+        application.restart = lambda away: eventlet.spawn(self._restart, away)
         self.port = 0
         self._listen()
 
     def _listen(self):
         self._sock = listen(self.port)
         self.port = self._sock.getsockname()[1]
-        self._pool = eventlet.GreenPool(MOST_CONNECTIONS)
+        self._pool = eventlet.GreenPool(MAX_CONNECTIONS)
         self._thread = eventlet.spawn(
             wsgi.server,
             self._sock,
@@ -272,19 +272,19 @@
             debug=False,
         )
 
-    def _start_again(self, away):
-        """End with all connections; start after so many seconds."""
-        eventlet.sleep(ANSWER_SECONDS)
+    def _restart(self, away):
+        """Close all connections, and start again after a number of seconds."""
+        eventlet.sleep(RESPONSE_SECONDS)
         self._thread.kill()
         self._sock.close()
         for connection in list(self._pool.coroutines_running):
             connection.kill()
         eventlet.sleep(away)
-        self.application.forget()
+        self.application.reset_state()
         self._listen()
 
     def wait(self):
-        """Serve for ever."""
+        """Block while the endpoint is served."""
         while True:
             eventlet.sleep(3600.0)
 
@@ -300,7 +300,7 @@
 
 
 def main():
-    """Serve until ended; the first line printed has the addresses."""
+    """Serve until terminated; the first line of the output holds the addresses."""
     count = int(sys.argv[1]) if len(sys.argv) > 1 else 1
     service_ms = float(sys.argv[2]) if len(sys.argv) > 2 else SERVICE_MS
     log = open(os.devnull, "w")
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,6 +1,6 @@
-"""Starts stand-ins and nodes as separate processes, for tests and benches.
+"""Start test servers and nodes as separate processes, for tests and benchmarks.
 
-Only processes started here are ended here, each by its own id.
+Only processes started by this module are terminated by it, each by its process id.
 """
 
 import json
@@ -23,30 +23,30 @@
 
 FIRST_PORT, LAST_PORT = 20_000, 32_000
 START_SECONDS = 20.0
-END_SECONDS = 5.0
+KILL_SECONDS = 5.0
 EXIT_TERMINATED = 143
 EXAMPLES = Path(__file__).parent.parent / "examples"
 BIN = Path(sys.executable).parent
 
 
-def draw_ports():
-    """Yield ports below those that the system gives to outgoing connections.
+def shuffle_ports():
+    """Yield ports below the system's range for outgoing connections.
 
     Notes
     -----
-    Not by Python's own source of luck: a test that seeds it would let all runs beside
-    each other draw the same ports in the same order.
+    The order comes from the system's random source: if a test seeded Python's global
+    generator, concurrent test runs would draw the same ports in the same order.
     """
     ports = list(range(FIRST_PORT, LAST_PORT))
     random.SystemRandom().shuffle(ports)
     yield from ports
 
 
-PORTS = draw_ports()
+PORTS = shuffle_ports()
 
 
 def find_free_port():
-    """Return a loopback port that is free now and was not returned before."""
+    """Return a free loopback port that was not returned before."""
     for port in PORTS:
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -55,33 +55,33 @@
             except OSError:
                 continue
             return port
-    raise RuntimeError("no free port is left")
+    raise RuntimeError("all ports of the range have been used")
 
 
 def wait_until(condition, seconds, what):
-    """Wait until a condition holds; TimeoutError names what did not come."""
+    """Wait until a condition holds; the TimeoutError names what was expected."""
     deadline = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > deadline:
-            raise TimeoutError(f"{what} did not come within {seconds} s")
+            raise TimeoutError(f"timed out after {seconds} s waiting for {what}")
         time.sleep(0.02)
 
 
 def call(method, url, content=None):
-    """Return the decoded answer of a stand-in."""
+    """Return the decoded response of a test server."""
     body = None if content is None else json.dumps(content).encode()
     response = urllib3.request(method, url, body=body, timeout=5.0, retries=False)
     return json.loads(response.data)
 
 
-def leave(*_):
-    """End this process in the ordinary way, through all context managers."""
+def exit_normally(*_):
+    """Exit normally, so that all context managers are closed."""
     sys.exit(EXIT_TERMINATED)
 
 
 @dataclass
 class NodeProcess:
-    """One node with its addresses."""
+    """A node process with its addresses."""
 
     name: str
     data_centre: str
@@ -94,7 +94,7 @@
     holds: str = "all"
 
     def is_ready(self):
-        """Tell whether ``/ready`` says yes."""
+        """Return whether ``/ready`` responds with status 200."""
         try:
             url = f"http://{self.admin}/ready"
             response = urllib3.request("GET", url, timeout=1.0, retries=False)
@@ -115,15 +115,15 @@
     vm_list: str = ""
 
     def __enter__(self):
-        # Ended from outside, the processes started here must end, too.
-        signal.signal(signal.SIGTERM, leave)
+        # On SIGTERM the processes started here must be terminated, too.
+        signal.signal(signal.SIGTERM, exit_normally)
         return self
 
     def __exit__(self, *error):
         self.close()
 
     def start_standin(self, module, *arguments):
-        """Start a stand-in; return the first line that it prints."""
+        """Start a test server; return the first line of its output."""
         process = subprocess.Popen(
             [sys.executable, "-m", f"standins.{module}", *map(str, arguments)],
             stdout=subprocess.PIPE,
@@ -138,7 +138,7 @@
         self.vm_list = self.start_standin("vmlist")
 
     def start_endpoints(self, count, service_ms=4.0, per_process=8):
-        """Start endpoints, several a process; return their addresses."""
+        """Start endpoints, several per process; return their addresses."""
         started = []
         while len(started) < count:
             number = min(per_process, count - len(started))
@@ -148,7 +148,7 @@
         return started
 
     def write_example(self, name, service_ms=4.0):
-        """Write an example's declarations with stand-ins for its endpoints.
+        """Write an example's declarations with the addresses of started endpoints.
 
         Returns
         -------
@@ -159,7 +159,7 @@
         folder.mkdir()
         declarations, findings = load_declarations(EXAMPLES / name)
         if findings:
-            raise ValueError(f"the example {name} is not valid")
+            raise ValueError(f"the declarations of example {name} are invalid")
         for declaration in declarations:
             content = declaration.model_dump(mode="json")
             endpoints = content["endpoints"]
@@ -181,12 +181,12 @@
         environment=None,
         **settings,
     ):
-        """Start a node, or a mutation of one; return it once it is ready.
+        """Start a node, optionally with a mutation; return it once it is ready.
 
         Notes
         -----
-        ``program`` is what is run, ``environment`` its whole environment (this
-        process's own if None).
+        ``program`` is the command to run, ``environment`` its complete environment
+        (that of this process if None).
         """
         ports = [find_free_port() for _ in range(3)]
         address, control, admin = (f"127.0.0.1:{port}" for port in ports)
@@ -231,13 +231,13 @@
 
         def is_up():
             if node.process.poll() is not None:
-                raise RuntimeError(f"{node.name} ended: {node.log.read_text()}")
+                raise RuntimeError(f"{node.name} exited: {node.log.read_text()}")
             return node.is_ready()
 
         wait_until(is_up, START_SECONDS, f"readiness of {node.name}")
 
     def put_list(self, leaving=()):
-        """Show the nodes that run in the platform's list."""
+        """Put the running nodes into the platform's list."""
         items = [
             {
                 "name": node.name,
@@ -256,7 +256,7 @@
         call("PUT", f"{self.store}/standin/faults", faults)
 
     def count_store_calls(self):
-        """Return the store's calls by kind."""
+        """Return the number of calls of the store by kind."""
         return call("GET", f"{self.store}/standin/calls")
 
     def set_faults(self, endpoint, **faults):
@@ -264,11 +264,11 @@
         call("PUT", f"http://{endpoint}/standin/faults", faults)
 
     def read_record(self, endpoint):
-        """Return what an endpoint ran."""
+        """Return the record of an endpoint: requests that ran, and counters."""
         return call("GET", f"http://{endpoint}/standin/record")
 
     def run_cli(self, node, *arguments):
-        """Run the command line against a node; return the finished process."""
+        """Run the command-line client against a node; return the finished process."""
         return subprocess.run(
             [str(BIN / "hingesill"), *map(str, arguments), f"--node={node.control}"],
             capture_output=True,
@@ -277,12 +277,12 @@
         )
 
     def forget(self, node):
-        """Take a node that has ended out of the list."""
+        """Remove a node that has exited from the list."""
         self.nodes.pop(node.name, None)
         self.put_list()
 
     def close(self):
-        """End every process that was started here."""
+        """Terminate every process that was started here."""
         for process in self.processes:
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -293,6 +293,6 @@
                 process.wait(max(0.01, deadline - time.monotonic()))
             except subprocess.TimeoutExpired:
                 process.kill()
-                process.wait(END_SECONDS)
+                process.wait(KILL_SECONDS)
             if process.stdout:
                 process.stdout.close()
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,9 +1,9 @@
-"""A stand-in for the platform's key-value service, by its HTTP interface.
+"""A test server with the HTTP interface of the platform's key-value service.
 
 Faults are set by ``PUT /standin/faults`` with a JSON object: ``down`` refuses
 every call, ``slow_s`` delays each, ``lose_answers`` lets that many writes take
-effect and then breaks the connection, ``drop_writes`` breaks the connection
-without the write. ``GET /standin/calls`` counts calls.
+effect and then closes the connection, ``drop_writes`` closes the connection of
+that many writes without writing. ``GET /standin/calls`` returns the call counters.
 """
 
 import base64
@@ -43,11 +43,11 @@
 
     @property
     def url(self):
-        """Where it listens."""
+        """The base URL of the server."""
         return f"http://127.0.0.1:{self.server_address[1]}"
 
-    def end_lapsed_sessions(self):
-        """Free the keys whose session has lapsed; the lock is held."""
+    def expire_sessions(self):
+        """Release the locks of expired sessions; the caller holds the condition."""
         now = time.monotonic()
         for session, (until, _) in list(self.sessions.items()):
             if until < now:
@@ -55,7 +55,7 @@
                 self.locks = {k: s for k, s in self.locks.items() if s != session}
 
     def handle_error(self, request, client_address):
-        """Keep broken connections quiet."""
+        """Ignore errors of connections that clients closed."""
 
 
 class StoreHandler(BaseHTTPRequestHandler):
@@ -66,10 +66,10 @@
     wbufsize = 1 << 16
 
     def log_message(self, *arguments):
-        """Log nothing."""
+        """Suppress the access log."""
 
     def answer(self, status, content, **headers):
-        """Send a JSON answer."""
+        """Send a JSON response."""
         data = json.dumps(content).encode()
         self.send_response(status)
         for name, value in headers.items():
@@ -83,7 +83,7 @@
         return self.rfile.read(int(self.headers.get("Content-Length", 0)))
 
     def handle_call(self):
-        """Route a call, after the faults that were asked for."""
+        """Route a call after applying the injected faults."""
         body = self.read_body()
         url = urlsplit(self.path)
         query = {k: v[0] for k, v in parse_qs(url.query).items()}
@@ -97,7 +97,7 @@
         if faults.get("down"):
             self.close_connection = True
             return None
-        if self.command == "PUT" and self.spend("drop_writes"):
+        if self.command == "PUT" and self.consume_fault("drop_writes"):
             self.close_connection = True
             return None
         kind = f"{self.command} {parts[1]}"
@@ -111,8 +111,8 @@
 
     do_GET = do_PUT = do_DELETE = handle_call
 
-    def spend(self, name):
-        """Use up one of a counted fault."""
+    def consume_fault(self, name):
+        """Decrement a counted fault; return whether it was still active."""
         with self.server.changed:
             left = self.server.faults.get(name, 0)
             if left:
@@ -120,7 +120,7 @@
             return bool(left)
 
     def handle_standin(self, what, body):
-        """Set faults or tell the counts."""
+        """Set the faults, if requested, and return the call counters."""
         if what == "faults":
             with self.server.changed:
                 self.server.faults = json.loads(body)
@@ -128,7 +128,7 @@
         self.answer(200, dict(self.server.calls))
 
     def get_key(self, key, query, body):
-        """Answer a read, at once or when the key has changed."""
+        """Respond to a read, immediately or when the key has changed."""
         server = self.server
         wait = float(query.get("wait", "0ms").removesuffix("ms")) / 1000
         index = int(query.get("index", 0))
@@ -153,27 +153,27 @@
         self.answer(200, [item], X_Consul_Index=modified)
 
     def put_key(self, key, query, body):
-        """Write by CAS, or take a lock for a session."""
+        """Write by compare-and-set, or acquire a lock for a session."""
         server = self.server
         with server.changed:
             if "acquire" in query:
                 done = self.acquire(key, query["acquire"])
             else:
-                held = server.values.get(key)
-                done = int(query["cas"]) == (held[1] if held else 0)
+                stored = server.values.get(key)
+                done = int(query["cas"]) == (stored[1] if stored else 0)
             if done:
                 server.index += 1
                 server.values[key] = (body, server.index)
                 server.changed.notify_all()
-        if done and self.spend("lose_answers"):
+        if done and self.consume_fault("lose_answers"):
             self.close_connection = True
             return
         self.answer(200, done)
 
     def acquire(self, key, session):
-        """Take a lock if no live session has it; the condition is held."""
+        """Acquire a lock unless another session has it, with the condition held."""
         server = self.server
-        server.end_lapsed_sessions()
+        server.expire_sessions()
         if session not in server.sessions:
             return False
         if server.locks.get(key, session) != session:
@@ -182,7 +182,7 @@
         return True
 
     def delete_key(self, key, query, body):
-        """Remove a key."""
+        """Delete a key."""
         with self.server.changed:
             self.server.values.pop(key, None)
             self.server.changed.notify_all()
@@ -193,7 +193,7 @@
         server = self.server
         action, _, session = rest.partition("/")
         with server.changed:
-            server.end_lapsed_sessions()
+            server.expire_sessions()
             if action == "create":
                 session = str(uuid.uuid4())
                 ttl = float(json.loads(body)["TTL"].removesuffix("s"))
@@ -211,7 +211,7 @@
 
 
 def main():
-    """Serve until ended; the first line printed is the address."""
+    """Serve until terminated; the first line of the output is the URL."""
     server = StoreServer(int(sys.argv[1]) if len(sys.argv) > 1 else 0)
     print(server.url, flush=True)
     server.serve_forever()
--- a/standins/suspension.py
+++ b/standins/suspension.py
@@ -1,4 +1,4 @@
-"""Suspends a process as its VM would be: its steady clock leaves that time out."""
+"""Suspend a process like its VM: its monotonic clock excludes that time."""
 
 import signal
 import sys
@@ -10,52 +10,52 @@
 
 __all__ = ["Suspension"]
 
-# How the kernel shows a process that was stopped by a signal.
+# Process state in /proc/PID/stat of a process stopped by a signal.
 STOPPED = "T"
 
 
 class Suspension:
-    """The suspensions of one process, and of those that take its place.
+    """The suspensions of one process, and of the processes that replace it.
 
     Parameters
     ----------
     file : Path
-        Holds the seconds that its steady clock leaves out.
+        File with the seconds that the monotonic clock excludes.
     """
 
     def __init__(self, file):
         self.file = Path(file)
         self.file.write_bytes(SECONDS.pack(0.0))
-        self._left_out = 0.0
+        self._excluded = 0.0
         self._since = 0.0
 
     def wrap(self, program):
-        """Return the arguments that run a Python program with that clock."""
+        """Return the arguments that run a Python program with this clock."""
         return [sys.executable, suspendedclock.__file__, str(self.file), program]
 
     def begin(self, process):
-        """Let a process stand still."""
+        """Suspend a process."""
         self._since = time.monotonic()
         process.send_signal(signal.SIGSTOP)
 
     def end(self, process):
-        """Let it go on.
+        """Resume a process.
 
         Notes
         -----
-        A process that something else has let go on, or ended, stays as it is: a steady
-        clock doesn't go back.
+        A process that has been resumed by something else, or has exited, is left as it
+        is: a monotonic clock must not go back.
         """
-        if process.poll() is not None or not stands_still(process):
+        if process.poll() is not None or not is_stopped(process):
             return
-        self._left_out += time.monotonic() - self._since
-        # In place, as the process has the file's memory.
+        self._excluded += time.monotonic() - self._since
+        # Written in place, as the process has mapped the file into its memory.
         with self.file.open("r+b") as file:
-            file.write(SECONDS.pack(self._left_out))
+            file.write(SECONDS.pack(self._excluded))
         process.send_signal(signal.SIGCONT)
 
 
-def stands_still(process):
-    """Tell whether the kernel shows a process as stopped."""
+def is_stopped(process):
+    """Return whether the kernel reports a process as stopped."""
     stat = Path(f"/proc/{process.pid}/stat").read_text()
     return stat.rpartition(")")[2].split()[0] == STOPPED
--- a/standins/vmlist.py
+++ b/standins/vmlist.py
@@ -1,7 +1,6 @@
-"""A stand-in for the platform's lagging list of VMs.
+"""A test server with the platform's list of VMs, which lags.
 
-``PUT /standin/list`` sets the list; what ``GET /vms`` shows follows ``lag_s``
-seconds later.
+``PUT /standin/list`` sets the list; ``GET /vms`` returns it ``lag_s`` seconds later.
 """
 
 import json
@@ -13,7 +12,7 @@
 
 
 class VmListServer(ThreadingHTTPServer):
-    """A list that is shown late."""
+    """A list that is served with a delay."""
 
     daemon_threads = True
     request_queue_size = 512
@@ -31,7 +30,7 @@
 
     @property
     def url(self):
-        """Where the list is."""
+        """The URL of the list."""
         return f"http://127.0.0.1:{self.server_address[1]}/vms"
 
     def put(self, items):
@@ -39,22 +38,22 @@
         self.versions = [*self.versions[-50:], (time.monotonic(), items)]
 
     def get(self):
-        """Return the list as it was some time ago."""
+        """Return the list as it was ``lag_s`` seconds ago."""
         shown = time.monotonic() - self.lag_s
         return [items for at, items in self.versions if at <= shown][-1]
 
 
 class VmListHandler(BaseHTTPRequestHandler):
-    """One connection to the list."""
+    """One connection to the server of the list."""
 
     protocol_version = "HTTP/1.1"
     wbufsize = 1 << 16
 
     def log_message(self, *arguments):
-        """Log nothing."""
+        """Suppress the access log."""
 
     def do_GET(self):
-        """Show the list."""
+        """Return the list."""
         self.answer(self.server.get())
 
     def do_PUT(self):
@@ -64,7 +63,7 @@
         self.answer(True)
 
     def answer(self, content):
-        """Send a JSON answer."""
+        """Send a JSON response."""
         data = json.dumps(content).encode()
         self.send_response(200)
         self.send_header("Content-Length", str(len(data)))
@@ -73,7 +72,7 @@
 
 
 def main():
-    """Serve until ended; the first line printed is the address."""
+    """Serve until terminated; the first line of the output is the URL."""
     server = VmListServer()
     print(server.url, flush=True)
     server.serve_forever()
