--- a/demo/load.py
+++ b/demo/load.py
@@ -1,4 +1,4 @@
-"""Callers that send reads and moves, and keep what they were told."""
+"""Callers that send reads and moves, and keep the responses."""
 
 import json
 import threading
@@ -14,28 +14,28 @@
 
 @dataclass(frozen=True)
 class Call:
-    """One request with what became of it.
+    """One request with its outcome.
 
     Parameters
     ----------
     request_id : str
-        As sent.
+        Request id that was sent.
     repeatable : bool
-        Whether its route is declared so.
+        Whether its route is declared as repeatable.
     outcome : str
         ``answered``, ``not-run``, ``unknown``, or ``cut`` if the connection broke.
     reason : str
-        The node's reason, if it refused.
+        Reason of the node's refusal, if any.
     whole : bool
-        Whether the answer was whole and this request's own.
+        Whether the response was complete and belonged to this request.
     seconds : float
-        From sending to the whole answer.
+        Time from sending to the complete response.
     status : int
-        The answer's status; 0 if there was none.
+        Status of the response; 0 if there was none.
     limit : float
-        Seconds that the request had.
+        Time limit of the request, in seconds.
     retry_after : str
-        When the caller was told to come back.
+        Value of the response's Retry-After header.
     """
 
     request_id: str
@@ -51,18 +51,18 @@
 
 @dataclass
 class Caller:
-    """Sends requests one after another from a thread until stopped.
+    """A thread that sends requests one after another until stopped.
 
     Parameters
     ----------
     get_addresses : callable
-        Returns the nodes' addresses that the platform's balancer would use.
+        Function that returns the node addresses in use by the platform's balancer.
     requests : list of tuple
-        Method, path and whether it is repeatable; taken in turn.
+        Method, path and whether it is repeatable; sent in turn.
     pause : float
-        Seconds between requests.
+        Time between requests, in seconds.
     limit : float
-        Seconds that a request has by its declaration.
+        Declared time limit of a request, in seconds.
     """
 
     get_addresses: object
@@ -77,12 +77,12 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self):
-        """Begin; return this object."""
+        """Start the thread; return this object."""
         self._thread.start()
         return self
 
     def stop(self):
-        """End after the request that is under way."""
+        """Stop after the request in flight."""
         self._stop.set()
         self._thread.join(10)
 
@@ -139,5 +139,5 @@
 
 
 def count_outcomes(calls):
-    """Return how many calls there are of each outcome and reason."""
+    """Return the number of calls by outcome and reason."""
     return Counter(f"{c.outcome} {c.reason}".strip() for c in calls)
--- a/demo/main.py
+++ b/demo/main.py
@@ -1,4 +1,4 @@
-"""Two nodes under load; one is stopped in a planned way. Exits 0 if all held."""
+"""Run two nodes under load and stop one gracefully; exit with 0 if all checks hold."""
 
 import sys
 import tempfile
@@ -23,7 +23,7 @@
 
 
 def run_demo(folder, checks):
-    """Run the demonstration; put the result of each check into ``checks``."""
+    """Run the demonstration; store the result of each check in ``checks``."""
     with Fleet(folder) as fleet:
         fleet.start_platform()
         declarations = fleet.write_example("zugzwang")
@@ -41,13 +41,17 @@
 
 
 def run_load(fleet, first, second, checks):
-    """Send requests through both nodes and stop one meanwhile."""
+    """Send requests through both nodes, and stop one of them."""
     usable = [first.address, second.address]
     callers = [Caller(lambda: usable, REQUESTS).start() for _ in range(CALLERS)]
     time.sleep(LOAD_SECONDS)
     print("stopping node-2 in a planned way")
     second.process.terminate()
-    wait_until(lambda: not second.is_ready(), 5.0, "the node's own sign")
+    wait_until(
+        lambda: not second.is_ready(),
+        5.0,
+        "the stopping node reports that it is not ready",
+    )
     usable.remove(second.address)
     code = second.process.wait(STOP_SECONDS)
     checks["the stopped node ended by itself with 0"] = code == 0
@@ -60,7 +64,7 @@
 
 
 def report(calls):
-    """Print what became of the calls."""
+    """Print the outcomes and latencies of the calls."""
     for outcome, count in sorted(count_outcomes(calls).items()):
         print(f"  {outcome}: {count}")
     seconds = sorted(call.seconds for call in calls)
@@ -70,7 +74,7 @@
 
 
 def check_promises(fleet, calls, checks):
-    """Compare what callers were told with what the endpoints ran."""
+    """Compare the responses that callers received with the endpoints' records."""
     ran = Counter()
     for endpoint in fleet.endpoints:
         ran.update(fleet.read_record(endpoint)["ran"])
--- a/deploy/bundle.py
+++ b/deploy/bundle.py
@@ -1,20 +1,22 @@
-"""Writes the bundle of all modules that a node's start loads; see deploy/build.sh."""
+"""Write the bundle of all modules loaded at a node's start; see deploy/build.sh."""
 
 import sys
 
-import adapter.start  # noqa: F401, loads what a start loads
+import adapter.start  # noqa: F401, imports all modules of a start
 from hingesill_node.bundle import write_bundle
 
-# Libraries import these at once and use them seldom or never in a node; asyncio alone
-# is a sixth of a start's processor time (``python3 -X importtime``).
-LATE = frozenset({"asyncio", "html", "linecache", "mimetypes", "platform", "shutil"})
+# Modules that libraries import eagerly but a node rarely or never uses; asyncio alone
+# takes a sixth of a start's processor time (``python3 -X importtime``).
+DEFERRED_MODULES = frozenset(
+    {"asyncio", "html", "linecache", "mimetypes", "platform", "shutil"}
+)
 
 
 def main():
-    """Write the bundle that the first argument names."""
+    """Write the bundle to the path in the first argument."""
     path = sys.argv[1]
     modules = [module for name, module in sorted(sys.modules.items()) if module]
-    count = write_bundle(path, modules, LATE)
+    count = write_bundle(path, modules, DEFERRED_MODULES)
     print(f"{path}: {count} modules")
 
 
--- a/scripts/__init__.py
+++ b/scripts/__init__.py
@@ -1,1 +1,1 @@
-"""Scripts of the developers."""
+"""Development scripts."""
--- a/scripts/generate_api.py
+++ b/scripts/generate_api.py
@@ -1,4 +1,4 @@
-"""Generate the Python code of the schema file; the result is committed."""
+"""Generate Python code from the schema file; the generated code is committed."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 
 def generate():
-    """Run the generator and make its imports absolute."""
+    """Run the generator and make the imports of its output absolute."""
     out = PACKAGE / "generated"
     arguments = [
         "protoc",
--- a/scripts/generate_docs.py
+++ b/scripts/generate_docs.py
@@ -1,4 +1,4 @@
-"""Write the pages that are made from the code: settings and log events."""
+"""Generate the pages of settings and log events from the code."""
 
 from pathlib import Path
 
@@ -48,7 +48,7 @@
 
 
 def find_description(field):
-    """Return what a field of the settings means."""
+    """Return the description of a field of the settings."""
     (meta,) = (m for m in field.type.__metadata__ if isinstance(m, Meta))
     return meta.description
 
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,6 +1,6 @@
-"""Run all tests; pass over just the known failures and print them.
+"""Run all tests; tolerate only the known failures, and print them.
 
-``KNOWN-RED.txt`` names at most three tests, one a line: test, cause, issue.
+``KNOWN-RED.txt`` lists at most three tests, one per line: test, cause, issue.
 """
 
 import sys
@@ -12,11 +12,11 @@
 ROOT = Path(__file__).parent.parent
 FOLDERS = ("packages/hingesill-core", "packages/hingesill-node")
 FOLDERS += ("packages/hingesill-cli", "platform", "tests")
-MOST_KNOWN = 3
+MAX_KNOWN_FAILURES = 3
 
 
-def read_known():
-    """Return the names of the tests that are known to fail, with their lines."""
+def read_known_failures():
+    """Return the lines of the known failures by the name of the test."""
     file = ROOT / "KNOWN-RED.txt"
     if not file.exists():
         return {}
@@ -40,16 +40,16 @@
 
 def main():
     """Run the tests; return the exit code."""
-    known = read_known()
-    if len(known) > MOST_KNOWN:
-        print(f"KNOWN-RED.txt has more than {MOST_KNOWN} lines")
+    known = read_known_failures()
+    if len(known) > MAX_KNOWN_FAILURES:
+        print(f"KNOWN-RED.txt has more than {MAX_KNOWN_FAILURES} lines")
         return 1
     suite = load_suite()
-    # Tests of nodes that run in this process have times in them: a whole collection of
-    # what all the modules hold would stop their green threads for too long.
+    # Tests of nodes in this process depend on timing: a full collection of the
+    # objects of all modules (gc) would block their green threads for too long.
     freeze_start_objects()
     result = unittest.TextTestRunner(verbosity=1).run(suite)
-    # What a subtest's name adds in brackets is no part of the test's.
+    # The id of a subtest ends with its parameters in parentheses.
     failed = [test.id().split(" (")[0] for test, _ in result.failures + result.errors]
     new = [name for name in failed if name not in known]
     for name, line in known.items():
--- a/soak/main.py
+++ b/soak/main.py
@@ -10,87 +10,89 @@
 
 from matrix.evidence import Evidence, Violation
 from matrix.promises import PROMISES
-from soak.faults import BESIDES, FAULTS
+from soak.faults import CONCURRENT_FAULTS, FAULTS
 from soak.report import Finding, choose_seeds, report_seeds
 from soak.scene import Scene
 
 __all__ = ["main", "run_seed"]
 
-SERIES = 6
-FIRST_PAUSE = 0.5
-REST_SECONDS = 2.0
-# Share of faults beside which another one of each kind begins.
-BESIDE_SHARE = 0.3
+FAULTS_PER_SEED = 6
+INITIAL_PAUSE_SECONDS = 0.5
+RECOVERY_SECONDS = 2.0
+# Share of faults with which a concurrent fault of each kind starts.
+CONCURRENT_SHARE = 0.3
 CHECKED = (
     "whole own answer",
     "not run did not run",
     "not repeatable at most once",
     "answered ran",
 )
-# Seeds that failed once are run with every soak; a line says why they failed.
+# Seeds that failed before are run in every soak; each has the reason of its failure.
 REGRESSIONS = {
     30634: "the soak's fault: a planned stop was waited for while the node was paused",
 }
-# What was drawn beside others when these failed; they play the same for ever.
-KEPT_BESIDES = ("limits",)
+# Concurrent faults that existed when these seeds failed: with others, the seeds would
+# give other faults.
+REGRESSION_FAULTS = ("limits",)
 
 
 def run_seed(seed, mutation="", names=None):
-    """Run one seed, maybe with a rule left out; return its Finding.
+    """Run one seed, optionally with a mutation; return its Finding.
 
     Parameters
     ----------
     seed : int
-        Of all choices.
+        Seed of all random choices.
     mutation : str
-        A rule that nodes leave out; see `matrix.mutant`.
+        Rule that the nodes violate; see `matrix.mutant`.
     names : list of str or None
         Faults to choose from; all if None.
     """
     rng = random.Random(seed)
     with tempfile.TemporaryDirectory() as folder:
-        besides = {} if names else draw_besides(seed)
-        scene = Scene(folder, seed, mutation, "suspensions" in besides)
+        concurrent = {} if names else create_random_sources(seed)
+        scene = Scene(folder, seed, mutation, "suspensions" in concurrent)
         try:
             scene.start()
-            time.sleep(FIRST_PAUSE)
-            faults = play_faults(scene, rng, names or FAULTS.list_names(), besides)
-            time.sleep(REST_SECONDS)
-            return judge(scene, seed, faults)
+            time.sleep(INITIAL_PAUSE_SECONDS)
+            faults = run_faults(scene, rng, names or FAULTS.list_names(), concurrent)
+            time.sleep(RECOVERY_SECONDS)
+            return evaluate(scene, seed, faults)
         finally:
             scene.close()
 
 
-def draw_besides(seed):
-    """Return the source of luck of each kind of fault that is drawn beside others."""
-    names = KEPT_BESIDES if seed in REGRESSIONS else BESIDES.list_names()
+def create_random_sources(seed):
+    """Return a random source for each kind of concurrent fault."""
+    names = REGRESSION_FAULTS if seed in REGRESSIONS else CONCURRENT_FAULTS.list_names()
     return {name: random.Random(f"{name} of {seed}") for name in names}
 
 
-def play_faults(scene, rng, known, besides):
-    """Begin faults one after another, overlapping; return their names.
+def run_faults(scene, rng, known, concurrent):
+    """Run a series of overlapping faults; return their names.
 
     Parameters
     ----------
     scene : Scene
-        Where.
+        Scene in which the faults are injected.
     rng : random.Random
-        Draws the faults.
+        Random source that chooses the faults.
     known : list of str
-        To choose from.
-    besides : dict of random.Random
-        Draw, by the names of faults of `BESIDES`, when one begins beside another.
+        Names of the faults to choose from.
+    concurrent : dict of random.Random
+        Random sources that decide when a concurrent fault starts, by the names of
+        faults of `CONCURRENT_FAULTS`.
     """
     names = []
     ends = []
-    for _ in range(SERIES):
+    for _ in range(FAULTS_PER_SEED):
         name = rng.choice(known)
         names.append(name)
         ends.append(FAULTS.get(name)(scene, rng))
-        for beside, luck in besides.items():
-            if luck.random() < BESIDE_SHARE:
-                names.append(beside)
-                ends.append(BESIDES.get(beside)(scene, luck))
+        for concurrent_name, source in concurrent.items():
+            if source.random() < CONCURRENT_SHARE:
+                names.append(concurrent_name)
+                ends.append(CONCURRENT_FAULTS.get(concurrent_name)(scene, source))
         time.sleep(rng.uniform(0.1, 0.8))
         while len(ends) > 2 or (ends and rng.random() < 0.4):
             ends.pop(rng.randrange(len(ends)))()
@@ -99,8 +101,8 @@
     return names
 
 
-def judge(scene, seed, faults):
-    """Compare what callers were told with what endpoints ran."""
+def evaluate(scene, seed, faults):
+    """Compare the responses that callers received with the endpoints' records."""
     for caller in scene.callers:
         caller.stop()
     calls = [call for caller in scene.callers for call in caller.calls]
@@ -114,32 +116,34 @@
 
 
 def check_end(scene):
-    """Check that planned stops were clean and that all is served again."""
+    """Yield a violation for each unclean planned stop and for lost service."""
     for code in scene.exit_codes:
         if code != 0:
-            yield Violation("node", f"a planned stop ended with {code}")
+            yield Violation("node", f"a planned stop exited with status {code}")
     for caller in scene.callers:
         if caller.calls and caller.calls[-1].outcome == "cut":
             call = caller.calls[-1]
-            yield Violation(call.request_id, "still cut after the last fault")
+            yield Violation(
+                call.request_id, "connection still cut after the last fault"
+            )
     last = [caller.calls[-5:] for caller in scene.callers]
     if not any(call.outcome == "answered" for calls in last for call in calls):
-        yield Violation("fleet", "nothing is answered after the last fault")
+        yield Violation("fleet", "no request is answered after the last fault")
 
 
 def main(seeds=0, seed=None, first=None, mutation=""):
-    """Run seeds and print what they showed.
+    """Run seeds and print their findings.
 
     Parameters
     ----------
     seeds : int
-        How many fresh ones.
+        Number of new seeds.
     seed : int
-        Just this one.
+        Single seed to run.
     first : int
-        Where the fresh ones begin; drawn if not given.
+        First of the new seeds; random if not given.
     mutation : str
-        A rule that nodes leave out; see `matrix.mutant`.
+        Rule that the nodes violate; see `matrix.mutant`.
     """
     chosen = choose_seeds(REGRESSIONS, seeds, seed, first)
     failed = report_seeds(chosen, lambda number: run_seed(number, mutation))
--- a/soak/report.py
+++ b/soak/report.py
@@ -1,27 +1,27 @@
-"""What the seeds of a soak showed, printed and counted."""
+"""Report of the findings of a soak's seeds."""
 
 import random
 from dataclasses import dataclass
 
 __all__ = ["Finding", "choose_seeds", "report_seeds"]
 
-MOST_PRINTED = 5
+MAX_PRINTED_VIOLATIONS = 5
 
 
 @dataclass(frozen=True)
 class Finding:
-    """What one seed showed.
+    """The result of one seed.
 
     Parameters
     ----------
     seed : int
-        It repeats the choice of faults, not their exact times.
+        Seed that determines the faults, but not their exact times.
     faults : list of str
-        In order.
+        Names of the faults, in order.
     calls : int
-        Requests sent.
+        Number of requests sent.
     violations : list of Violation
-        Promises that were broken.
+        Broken promises.
     """
 
     seed: int
@@ -36,13 +36,13 @@
     Parameters
     ----------
     regressions : iterable of int
-        Seeds that failed once; they come first.
+        Seeds that failed before; they are run first.
     seeds : int
-        How many fresh ones.
+        Number of new seeds.
     seed : int or None
-        Just this one.
+        Single seed to run.
     first : int or None
-        Where the fresh ones begin; drawn if not given.
+        First of the new seeds; random if not given.
     """
     if seed is not None:
         return [seed]
@@ -51,14 +51,14 @@
 
 
 def report_seeds(chosen, run_seed):
-    """Run seeds, print what they showed; return how many failed."""
+    """Run seeds and print their findings; return the number of failed seeds."""
     failed = 0
     for number in chosen:
         finding = run_seed(number)
         failed += bool(finding.violations)
         state = "FAILED" if finding.violations else "held  "
         print(f"{state} seed {number}: {finding.calls} calls, {finding.faults}")
-        for violation in finding.violations[:MOST_PRINTED]:
+        for violation in finding.violations[:MAX_PRINTED_VIOLATIONS]:
             print(f"    {violation.place}: {violation.what}", flush=True)
     print(f"{len(chosen) - failed} passed, {failed} failed")
     return failed
--- a/soak/scene.py
+++ b/soak/scene.py
@@ -1,4 +1,4 @@
-"""The processes of one soak: nodes and endpoints, with proxies between them."""
+"""The processes of a soak: nodes and endpoints, with proxies between them."""
 
 import signal
 import time
@@ -18,28 +18,28 @@
     ("GET", "/arena/clocks/7", True),
 ]
 SERVICES = ("arena", "ledger")
-ENDPOINTS_EACH = 3
-# Many retries, so that a rule on them that is broken shows.
-SENDS = {"hedge_share": 0.1, "retry_share": 0.5}
+ENDPOINTS_PER_SERVICE = 3
+# A high share of retries, so that violated retry rules are detected.
+SEND_POLICY = {"hedge_share": 0.1, "retry_share": 0.5}
 NODES = 3
 CALLERS = 4
-CALLER_PAUSE = 0.02
+CALLER_PAUSE_SECONDS = 0.02
 STOP_SECONDS = 15.0
 
 
 class Scene:
-    """A fleet whose store and endpoints are reached through proxies.
+    """A fleet whose nodes reach the store and the endpoints through proxies.
 
     Parameters
     ----------
     folder : Path
-        For files and logs.
+        Folder of files and logs.
     seed : int
-        Of the proxies' choices.
+        Seed of the proxies' random choices.
     mutation : str
-        A rule that nodes leave out, to show that the checkers see it.
+        Rule that the nodes violate, to test that the checkers detect it.
     can_suspend : bool
-        The nodes' steady clocks can leave time out.
+        Whether the nodes' monotonic clocks can exclude time.
     """
 
     def __init__(self, folder, seed, mutation="", can_suspend=False):
@@ -56,7 +56,7 @@
         self._number = 0
 
     def start(self):
-        """Start everything and put the declarations in force."""
+        """Start all processes and apply the declarations."""
         self.fleet.start_platform()
         store = self.fleet.store.removeprefix("http://")
         self.store_proxy = Proxy(store, self.seed)
@@ -72,7 +72,7 @@
         if waited.returncode:
             raise RuntimeError(waited.stdout + waited.stderr)
         self.callers = [
-            Caller(lambda: self.usable, REQUESTS, CALLER_PAUSE).start()
+            Caller(lambda: self.usable, REQUESTS, CALLER_PAUSE_SECONDS).start()
             for _ in range(CALLERS)
         ]
 
@@ -86,21 +86,21 @@
                 {"address": address, "data_centre": "lsn-a"}
                 for address in self._start_endpoints()
             ]
-            content["sends"] = SENDS
+            content["sends"] = SEND_POLICY
             (folder / file.name).write_text(yaml.safe_dump(content))
         return folder
 
     def _start_endpoints(self):
-        """Start endpoints; return the addresses of the proxies before them."""
+        """Start endpoints; return the addresses of the proxies in front of them."""
         addresses = []
-        for address in self.fleet.start_endpoints(ENDPOINTS_EACH):
+        for address in self.fleet.start_endpoints(ENDPOINTS_PER_SERVICE):
             proxy = Proxy(address, f"{self.seed} {len(self.endpoint_proxies)}")
             self.endpoint_proxies.append(proxy)
             addresses.append(proxy.address)
         return addresses
 
     def add_node(self):
-        """Start a node that reaches the store through the proxy."""
+        """Start a node that connects to the store through the proxy."""
         self._number += 1
         store = f"http://{self.store_proxy.address}"
         node = self.fleet.start_node(
@@ -111,43 +111,43 @@
         )
         self.usable.append(node.address)
 
-    def choose_node(self, rng):
-        """Return a node that may get a fault; None while too few are well."""
-        well = [
+    def choose_healthy_node(self, rng):
+        """Return a node for a fault; None unless all nodes are healthy."""
+        healthy = [
             node
             for node in self.fleet.nodes.values()
             if node.address in self.usable and node.name not in self.leaving
         ]
-        return rng.choice(well) if len(well) == NODES else None
+        return rng.choice(healthy) if len(healthy) == NODES else None
 
-    def note_unplanned(self, node):
-        """Take note that a node's connections are cut from now on."""
+    def record_unplanned(self, node):
+        """Record the time from which a node's connections are cut."""
         self.unplanned.append((node.address, time.monotonic()))
         self.stop_using(node)
 
     def stop_using(self, node):
-        """Have callers use other nodes."""
+        """Remove a node from the nodes that callers use."""
         if node.address in self.usable:
             self.usable.remove(node.address)
 
     def replace(self, node):
-        """Start a node in the place of one that has ended."""
+        """Start a replacement of a node that has exited."""
         self.fleet.forget(node)
         self.add_node()
 
-    def end_stop(self, node):
-        """Wait for the end of a planned stop; start another node.
+    def finish_stop(self, node):
+        """Wait until a planned stop has finished, and start a replacement.
 
         Notes
         -----
-        A pause that is still on would keep the node from stopping.
+        The node is resumed first, as a node that is paused can't exit.
         """
         node.process.send_signal(signal.SIGCONT)
         self.exit_codes.append(node.process.wait(STOP_SECONDS))
         self.replace(node)
 
     def close(self):
-        """End callers, proxies and processes."""
+        """Stop callers, proxies and processes."""
         for caller in self.callers:
             caller.stop()
         for proxy in (self.store_proxy, *self.endpoint_proxies):
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -63,7 +63,7 @@
     deadline = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > deadline:
-            raise TimeoutError(f"timed out after {seconds} s waiting for {what}")
+            raise TimeoutError(f"{what}: not reached within {seconds} s")
         time.sleep(0.02)
 
 
