--- a/mixed/__init__.py
+++ b/mixed/__init__.py
@@ -1,1 +1,1 @@
-"""Runs this build of the load balancer beside an older one, and on its stored data."""
+"""Compatibility checks of this build with an older one and its stored data."""
--- a/mixed/builds.py
+++ b/mixed/builds.py
@@ -1,4 +1,4 @@
-"""The two builds: trees of sources, and how processes of each are started."""
+"""Source trees of the two builds, and commands that start their processes."""
 
 import os
 import subprocess
@@ -14,14 +14,14 @@
 
 
 class Build(NamedTuple):
-    """A tree of sources.
+    """A source tree.
 
     Parameters
     ----------
     name : str
-        Shown in the results.
+        Name in the results.
     root : Path
-        Of the tree.
+        Root folder of the tree.
     """
 
     name: str
@@ -38,18 +38,18 @@
         return [sys.executable, "-W", "ignore", "-m", module]
 
     def run_cli(self, *arguments):
-        """Run ``hingesill`` of this tree; return what it printed.
+        """Run ``hingesill`` of this tree; return its standard output.
 
         Raises
         ------
         AssertionError
-            If it ended with another status than 0.
+            If the exit status is not 0.
         """
         program = self.list_program("hingesill_cli.main")
         return self.run([*program, *map(str, arguments)])
 
     def run(self, program):
-        """Run a program to its end, with this tree's packages; as `run_cli`."""
+        """Run a program with this tree's packages until it exits, like `run_cli`."""
         done = subprocess.run(
             program,
             capture_output=True,
@@ -79,5 +79,5 @@
         ["git", "archive", commit], cwd=THIS_TREE, stdout=subprocess.PIPE
     )
     if archive.returncode:
-        raise SystemExit(f"git archive gives no tree of the commit {commit!r}")
+        raise SystemExit(f"git archive failed for commit {commit!r}")
     subprocess.run(["tar", "-x"], input=archive.stdout, cwd=folder, check=True)
--- a/mixed/bundles.py
+++ b/mixed/bundles.py
@@ -1,4 +1,4 @@
-"""Checks of a release: the settings template, and the build step over an older one."""
+"""Checks of a release: the settings template, and a build step over an older build."""
 
 import marshal
 import os
@@ -13,7 +13,7 @@
 __all__ = ["check_bundles"]
 
 BUILD_SECONDS = 120.0
-# Bytes of the index's length at the start of a bundle.
+# Size of the field at the start of a bundle that holds the length of its index.
 LENGTH_BYTES = 8
 PARTS = ("deploy", "packages", "platform")
 TEMPLATE = "deploy/settings.json.template"
@@ -21,7 +21,7 @@
 
 
 def check_bundles(checks, older, newer, folder):
-    """Check that a build step over the other build leaves nothing of that."""
+    """Check that a build step over an older build leaves no module of that build."""
     with checks.check("settings: the template has the same form") as seen:
         texts = [(build.root / TEMPLATE).read_text() for build in (older, newer)]
         require(texts[0] == texts[1], f"{texts[0]!r} and {texts[1]!r}")
@@ -36,19 +36,23 @@
         fresh = read_bundle(folder)
         require(after.keys() == fresh.keys(), sorted(after.keys() ^ fresh.keys()))
         differing = [name for name in fresh if after[name] != fresh[name]]
-        require(not differing, f"other code than in a new folder: {differing}")
+        require(
+            not differing,
+            f"code differs from that of a build in an empty folder: {differing}",
+        )
         own = [name for name in fresh if name.startswith(OWN_PREFIXES)]
-        require(own, "no module of its own")
+        require(own, "the bundle has no module of hingesill")
         seen.append(f"{len(fresh)} modules, {len(own)} its own")
         seen.append(f"{len(before.keys() - fresh.keys())} only of base were there")
 
 
 def build_release(build, folder):
-    """Put a build's sources over what is in a folder, and run its build step there.
+    """Copy a build's sources over a folder's content, and run its build step there.
 
     Notes
     -----
-    The step finds the libraries installed: they are links to those of the environment.
+    The libraries are links to those of this environment, so that the step skips their
+    installation.
     """
     for part in PARTS:
         ignore = shutil.ignore_patterns("__pycache__")
@@ -74,7 +78,7 @@
 
 
 def read_bundle(folder):
-    """Return source file and code of each module of a folder's bundle, by its name."""
+    """Return the source file and code of each module in a folder's bundle, by name."""
     whole = (folder / "target/start.bundle").read_bytes()
     begin = LENGTH_BYTES + int.from_bytes(whole[:LENGTH_BYTES], "big")
     _, index = marshal.loads(whole[LENGTH_BYTES:begin])
--- a/mixed/checks.py
+++ b/mixed/checks.py
@@ -1,4 +1,4 @@
-"""Prints the result of each check and counts the broken ones."""
+"""Results of checks, printed and counted."""
 
 from contextlib import contextmanager
 
@@ -6,12 +6,12 @@
 
 
 class Checks:
-    """The results so far.
+    """The number of passed and failed checks.
 
     Attributes
     ----------
     held, broken : int
-        How many checks held, and how many did not.
+        Number of checks that passed, and that failed.
     """
 
     def __init__(self):
@@ -20,12 +20,12 @@
 
     @contextmanager
     def check(self, name):
-        """Print a line for what is done within; any error there breaks the check.
+        """Print the result of the check in the block; any exception fails the check.
 
         Yields
         ------
         list of str
-            Takes what was seen.
+            Details to print with the result; the block appends to it.
         """
         seen = []
         word = "held"
@@ -41,6 +41,6 @@
 
 
 def require(condition, message):
-    """Raise AssertionError with a message unless a condition holds."""
+    """Raise AssertionError with a message unless a condition is true."""
     if not condition:
         raise AssertionError(message)
--- a/mixed/logs.py
+++ b/mixed/logs.py
@@ -1,4 +1,4 @@
-"""Checks of nodes' logs: no faults, and each build's commands read the other's."""
+"""Checks of node logs: no faults, and log commands that read the other build's logs."""
 
 import json
 
@@ -6,26 +6,26 @@
 
 __all__ = ["check_commands", "check_logs"]
 
-# A report, a datagram or a limit that is not valid, a fault of a request, a fault
-# of what follows the store.
+# Invalid report, datagram or limit, fault of a request, fault of a task that follows
+# the store.
 FORBIDDEN_EVENTS = (4008, 4013, 4017, 6001, 3012)
-# The line of a request that was refused, late, lost or sent more than once.
-REQUEST_IN_TROUBLE = 6003
+# Log event of a request that was refused, late, lost or sent more than once.
+IRREGULAR_REQUEST = 6003
 
 
 def check_commands(checks, mode, service, logs):
-    """Check both commands on logs.
+    """Check the commands ``trace`` and ``breakdown`` on logs.
 
     Parameters
     ----------
     checks : Checks
-        Takes the results.
+        Results to add to.
     mode : str
-        Shown in the results.
+        Mode to show in the results.
     service : str
-        Of the requests.
+        Service of the requests.
     logs : iterable of tuple
-        A log, the build that wrote it and the one that is to read it.
+        A log, the build that wrote it and the build that reads it.
     """
     for log, writer, reader in logs:
         name = f"{mode}: commands of {reader.name} read a log of {writer.name}"
@@ -41,22 +41,25 @@
 
 
 def find_request(log):
-    """Return the last line of a request in trouble.
+    """Return the last line of a request that was not served normally.
 
     Notes
     -----
-    Its id begins with a letter, so that the command line takes it for no number.
+    The id of the request begins with a letter, as the command line would parse some ids
+    of digits as numbers.
     """
     lines = [json.loads(t) for t in log.read_text().splitlines() if t[:1] == "{"]
-    found = [line for line in lines if line["event"] == REQUEST_IN_TROUBLE]
+    found = [line for line in lines if line["event"] == IRREGULAR_REQUEST]
     found = [line for line in found if line["request"][:1].isalpha()]
-    require(found, f"{log.name} has no line of a request in trouble")
+    require(
+        found, f"{log.name} has no line of a refused, late, lost or retried request"
+    )
     return found[-1]
 
 
 def check_logs(checks, title, folder):
-    """Check that no log in a folder tells of a fault."""
-    with checks.check(f"{title}: no log tells of a fault") as seen:
+    """Check that no log in a folder reports a fault."""
+    with checks.check(f"{title}: no log reports a fault") as seen:
         logs = sorted(folder.glob("*.log"))
         faults = [fault for log in logs for fault in find_faults(log)]
         require(not faults, f"{len(faults)}: " + "; ".join(faults[:3]))
@@ -65,7 +68,7 @@
 
 
 def find_faults(log):
-    """Yield what no log may hold."""
+    """Yield the tracebacks and forbidden events of a log."""
     lines = log.read_text().splitlines()
     for number, line in enumerate(lines):
         if "Traceback" in line:
--- a/mixed/main.py
+++ b/mixed/main.py
@@ -1,4 +1,4 @@
-"""Run this build beside an older one: ``python -m mixed.main --base=COMMIT``."""
+"""Check this build with an older one: ``python -m mixed.main --base=COMMIT``."""
 
 import sys
 import tempfile
@@ -17,17 +17,17 @@
 __all__ = ["main"]
 
 
-# Not as a number: a commit may read like one, as 12345e6 does.
+# Without this, Fire parses some commits as numbers, such as 12345e6.
 @SetParseFns(base=str)
 def main(base):
-    """Run all checks and print them; the exit status is 1 if one is broken.
+    """Run all checks and print their results; the exit status is 1 if one fails.
 
     Parameters
     ----------
     base : str
-        The commit of the older build.
+        Commit of the older build.
     """
-    begun = time.monotonic()
+    started = time.monotonic()
     checks = Checks()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -36,21 +36,21 @@
         newer = Build("this", THIS_TREE)
         for build in (older, newer):
             with checks.check(f"processes of {build.name} import its own tree") as seen:
-                places = build.find_packages()
-                inside = [Path(place).is_relative_to(build.root) for place in places]
-                require(all(inside), places)
-                seen.append(f"{len(places)} packages")
+                paths = build.find_packages()
+                inside = [Path(path).is_relative_to(build.root) for path in paths]
+                require(all(inside), paths)
+                seen.append(f"{len(paths)} packages")
         check_mixed_fleet(checks, older, newer, folder / "fleet")
         for writer, reader in ((older, newer), (newer, older)):
             title = f"data of {writer.name} read by {reader.name}"
-            place = folder / f"platform-{writer.name}"
-            check_stored_data(checks, title, writer, reader, place)
-            place = folder / f"own-{writer.name}"
-            check_own_data(checks, title, writer, reader, place)
+            path = folder / f"platform-{writer.name}"
+            check_stored_data(checks, title, writer, reader, path)
+            path = folder / f"own-{writer.name}"
+            check_own_data(checks, title, writer, reader, path)
         check_own_mode(checks, older, newer, folder / "own")
         check_bundles(checks, older, newer, folder / "site")
     print(f"{checks.held} held, {checks.broken} broken", end="")
-    print(f" in {time.monotonic() - begun:.0f} s")
+    print(f" in {time.monotonic() - started:.0f} s")
     sys.exit(1 if checks.broken else 0)
 
 
--- a/mixed/ownmode.py
+++ b/mixed/ownmode.py
@@ -1,4 +1,4 @@
-"""Checks of the own mode: operators' commands, change log and snapshot."""
+"""Checks of the own mode: operator commands, change log and snapshot."""
 
 import sys
 
@@ -14,10 +14,10 @@
 __all__ = ["check_own_data", "check_own_mode"]
 
 SERVED, EMPTY = "arena", "ledger"
-# Changes after which a node has sealed segments and written a snapshot, and a few more.
+# Slightly more changes than a node needs to seal segments and write a snapshot.
 CHANGES = 512 + 8
 SNAPSHOT_KEY = "hingesill/snapshot/head"
-# Applies two files in turn; one process, as starting one takes longer than a change.
+# Applies two files in turn, in one process, as a process start is slower than a change.
 APPLY_IN_TURN = """
 import runpy, sys
 count, node, *files = sys.argv[1:]
@@ -25,14 +25,14 @@
     sys.argv = ["hingesill", "apply", "-f", files[number % 2], node]
     try:
         runpy.run_module("hingesill_cli.main", run_name="__main__")
-    except SystemExit as ended:
-        if ended.code:
+    except SystemExit as exit_error:
+        if exit_error.code:
             raise
 """
 
 
 class BuildFleet(Fleet):
-    """A Fleet of which each node has a build."""
+    """A Fleet whose nodes run different builds."""
 
     def start_build(self, build, name):
         """Start a node of a build; return it once it is ready."""
@@ -43,14 +43,14 @@
         )
 
     def stop(self, node):
-        """Stop a node in its planned way."""
+        """Stop a node gracefully."""
         node.process.terminate()
         code = node.process.wait(WAIT_SECONDS)
-        require(code == 0, f"the planned stop of {node.name} ended with {code}")
+        require(code == 0, f"the planned stop of {node.name} exited with status {code}")
         self.forget(node)
 
     def write_declaration(self, service, endpoints=(), timeout=1000):
-        """Write a service's declaration; return its file."""
+        """Write the declaration of a service; return the file."""
         content = {
             "service": service,
             "endpoints": [
@@ -63,41 +63,41 @@
         return file
 
     def has_snapshot(self):
-        """Tell whether the store holds a snapshot."""
+        """Return whether the store has a snapshot."""
         url = f"{self.store}/v1/kv/{SNAPSHOT_KEY}"
         return urllib3.request("GET", url, retries=False).status == 200
 
 
 def read_state(build, node):
-    """Return what is in force at a node, and how it answers on each route."""
-    held = build.run_cli("get", f"--node={node.control}")
+    """Return the configuration of a node, and its response status for each route."""
+    configuration = build.run_cli("get", f"--node={node.control}")
     headers = {"Hingesill-Request-Id": f"sent-to-{node.name}"}
     statuses = [
         call(node.address, "GET", f"/{name}", None, headers)[0]
         for name in (SERVED, EMPTY, "none")
     ]
-    return held, statuses
+    return configuration, statuses
 
 
 def read_revision(state):
-    """Return the line of a state that names the revision."""
+    """Return the line of a state that shows the revision."""
     return state[0].splitlines()[0]
 
 
 def require_same(states):
-    """Require that states are equal and have the routes; return the revision."""
+    """Require equal states with the expected statuses; return the revision."""
     first = states[0]
-    require(all(state == first for state in states), f"they differ: {states}")
+    require(all(state == first for state in states), f"the states differ: {states}")
     require(first[1] == [200, 503, 404], f"statuses {first[1]}")
     return read_revision(first)
 
 
 def check_own_mode(checks, older, newer, folder):
-    """Check two nodes on one store, one of each build, then the builds exchanged."""
+    """Check two nodes of different builds on one store, then with exchanged builds."""
     folder.mkdir()
     with BuildFleet(folder) as fleet:
         with checks.check(
-            "own mode: changes through each are in force at both"
+            "own mode: changes through either node are in force at both"
         ) as seen:
             fleet.start_platform()
             state = apply_through_both(fleet, older, newer)
@@ -109,7 +109,7 @@
             [(folder / "n1.log", older, newer), (folder / "n2.log", newer, older)],
         )
         with checks.check(
-            "own mode: the same stands with the builds exchanged"
+            "own mode: the state is unchanged after the builds are exchanged"
         ) as seen:
             for node in list(fleet.nodes.values()):
                 fleet.stop(node)
@@ -121,7 +121,7 @@
 
 
 def apply_through_both(fleet, older, newer):
-    """Apply a change at each node, with the other build; return the state of both."""
+    """Apply a change at each node by the other build's command; return the state."""
     first, second = fleet.start_build(older, "n1"), fleet.start_build(newer, "n2")
     served = fleet.write_declaration(SERVED, fleet.start_endpoints(1))
     empty = fleet.write_declaration(EMPTY)
@@ -138,12 +138,12 @@
 
 
 def check_own_data(checks, title, writer, reader, folder):
-    """Check that a node goes on with the stored state of the other build.
+    """Check that a node continues from the stored state of the other build.
 
     Notes
     -----
-    The store holds a snapshot too, but a node reads that only where the segments of
-    the change log before it are gone, so that this does not show that it can.
+    The store has a snapshot too, but a node reads it only if earlier segments of the
+    change log are missing, so this check doesn't cover reading the snapshot.
     """
     title = f"own mode, {title}"
     folder.mkdir()
@@ -173,4 +173,4 @@
     build.run(
         [sys.executable, "-c", APPLY_IN_TURN, str(CHANGES), target, *map(str, files)]
     )
-    wait_until(fleet.has_snapshot, WAIT_SECONDS, "read from the change log")
+    wait_until(fleet.has_snapshot, WAIT_SECONDS, "a snapshot in the store")
--- a/mixed/scene.py
+++ b/mixed/scene.py
@@ -1,4 +1,4 @@
-"""A scene of the platform's program in which each node has a build."""
+"""A scene of the platform program whose nodes run different builds."""
 
 import re
 import signal
@@ -18,18 +18,18 @@
 
 __all__ = ["MixedScene", "WAIT_SECONDS"]
 
-# Generous, as the machine may be busy.
+# Generous time-outs, as the machine may be busy.
 WAIT_SECONDS = 20.0
 STOP_SECONDS = 20.0
 ENDPOINTS = 6
-HOLD_BEGUN = 4010
-LONG_SECONDS = 60.0
+QUARANTINE_STARTED = 4010
+MAX_PROVISIONAL_SECONDS = 60.0
 REFUSED = 503
-# A counter or gauge of a node's metrics, with what it counts; see docs/METRICS.md.
+# A counter or gauge of a node with its subject; see docs/METRICS.md.
 METRIC = re.compile(r'hingesill_(\w+?)(?:_total)?\{.*?(?:subject="(\w*)")?\} (\S+)')
-HEARD = ("limits heard", "gossip heard")
-# What nodes of two builds that understand each other and the store never count.
-NOT_UNDERSTOOD = (
+RECEIVED = ("limits heard", "gossip heard")
+# Metrics that stay zero while both builds decode each other's data and the store's.
+DECODING_FAILURES = (
     "limits invalid",
     "gossip invalid",
     "datagrams unknown",
@@ -38,29 +38,29 @@
 
 
 class BuildNode(Node):
-    """A node of a build; see `Node` for the arguments after that."""
+    """A node that runs a build; the other arguments are those of `Node`."""
 
     def __init__(self, build, *arguments):
         self.use(build)
         super().__init__(*arguments)
 
     def use(self, build):
-        """Let the next start run a build."""
+        """Set the build that the next start runs."""
         self.build = build
         self.platform = build.root / "platform"
         self.variables = build.build_environment()
 
     def wait_stopped(self):
-        """Wait for the end of a planned stop; it must end with 0."""
+        """Wait until a planned stop has finished; the exit status must be 0."""
         code = self.process.wait(STOP_SECONDS)
-        require(code == 0, f"the planned stop of {self.name} ended with {code}")
+        require(code == 0, f"the planned stop of {self.name} exited with status {code}")
 
-    def list_holds(self):
-        """Return the source of each long hold of this node, by its fingerprint."""
+    def list_quarantines(self):
+        """Return the source of each confirmed quarantine by its fingerprint."""
         return {
             event["fingerprint"]: event["source"]
-            for event in read_events(self, HOLD_BEGUN)
-            if event["seconds"] > LONG_SECONDS
+            for event in read_events(self, QUARANTINE_STARTED)
+            if event["seconds"] > MAX_PROVISIONAL_SECONDS
         }
 
     def read_metrics(self):
@@ -70,21 +70,21 @@
         return {f"{m[1]} {m[2] or ''}": float(m[3]) for m in found if m}
 
     def send(self, path):
-        """Send a read; return its status."""
+        """Send a read; return the status of the response."""
         headers = {"Host": "a.example", "X-Attempt-Id": uuid.uuid4().hex}
         headers["X-Deadline-Ms"] = "800"
         return call(self.front, "GET", path, None, headers)[0]
 
 
 class MixedScene(PlatformScene):
-    """A PlatformScene of which each node has a build and endpoints come back.
+    """A PlatformScene whose nodes run given builds and whose endpoints restart.
 
     Parameters
     ----------
     folder : Path
-        Is made.
+        Folder to create.
     builds : list of Build
-        One a node.
+        Build of each node.
     """
 
     crashing = None
@@ -96,21 +96,21 @@
         self.crashing = CrashingEndpoints(self)
 
     def close(self):
-        """End everything that was started here."""
+        """Stop everything that was started here."""
         if self.crashing is not None:
             self.crashing.stop()
         super().close()
 
     def make_node(self, number):
-        """Start the node of a number and return it."""
+        """Start the node with a number and return it."""
         return BuildNode(self.builds[number], self.folder, self.store, number)
 
     def list_nodes(self, build):
-        """Return the nodes of a build."""
+        """Return the nodes that run a build."""
         return [node for node in self.nodes if node.build == build]
 
     def has_item(self, key):
-        """Tell whether the store holds a key."""
+        """Return whether the store has a key."""
         return call(self.store, "GET", f"/api/kv-key?key={quote(key)}")[0] == 200
 
     def wait_in_force(self, version):
@@ -120,55 +120,60 @@
             wait_until(lambda: node.knows(version), WAIT_SECONDS, what)
 
     def require_refused(self, nodes, path):
-        """Send a request to nodes: all must refuse it, and no endpoint may end."""
+        """Send a request to nodes; all must refuse it, and no endpoint may crash."""
         ended = len(self.crashing.ended_at)
         statuses = [node.send(path) for node in nodes]
         require(statuses == [REFUSED] * len(nodes), f"statuses {statuses}")
         time.sleep(1.0)
         later = len(self.crashing.ended_at) - ended
-        require(not later, f"{later} more endpoints ended")
+        require(not later, f"{later} more endpoints crashed")
 
-    def require_understood(self):
-        """Require that no node counts news or entries that it cannot read.
+    def require_decoded(self):
+        """Require that no node counts datagrams or entries that it can't decode.
 
         Returns
         -------
         list of int
-            Datagrams on limits and on requests that end endpoints, of all nodes.
+            Datagrams on limits and on endpoint crashes received by all nodes.
         """
         metrics = [node.read_metrics() for node in self.nodes]
         for node, values in zip(self.nodes, metrics):
-            require("invalid_entries " in values, f"{node.name} shows no metrics")
-            for name in NOT_UNDERSTOOD:
+            require(
+                "invalid_entries " in values,
+                f"{node.name} reports no metrics",
+            )
+            for name in DECODING_FAILURES:
                 count = values.get(name, 0)
                 require(not count, f"{node.name} ({node.build.name}): {name} {count}")
-        return [round(sum(v.get(name, 0) for v in metrics)) for name in HEARD]
+        return [round(sum(v.get(name, 0) for v in metrics)) for name in RECEIVED]
 
     def wait_stored(self, fingerprints):
-        """Wait until the store holds the holds of fingerprints."""
+        """Wait until the store has the quarantines of fingerprints."""
         for name in fingerprints:
             key = f"hingesill/held/{name}"
             wait_until(lambda: self.has_item(key), WAIT_SECONDS, key)
 
-    def hold_back(self, senders, path):
-        """Send a request that ends endpoints until nodes hold it back for long.
+    def quarantine(self, senders, path):
+        """Send a request that crashes endpoints until its quarantine is confirmed.
 
         Returns
         -------
         set of str
-            The fingerprints under which one of the senders now holds it back.
+            Fingerprints of the request's new quarantines at any of the senders.
         """
-        known = list_all_holds(senders)
+        known = list_all_quarantines(senders)
         until = time.monotonic() + 2 * WAIT_SECONDS
-        while list_all_holds(senders) <= known:
-            require(time.monotonic() < until, f"{path} is not held back for long")
+        while list_all_quarantines(senders) <= known:
+            require(
+                time.monotonic() < until, f"{path} is not under a confirmed quarantine"
+            )
             for node in senders:
                 node.send(path)
                 time.sleep(0.2)
-        return list_all_holds(senders) - known
+        return list_all_quarantines(senders) - known
 
     def replace(self, build):
-        """Stop all nodes in their planned way, then start them with a build."""
+        """Stop all nodes gracefully, then start them with a build."""
         for node in self.nodes:
             node.process.send_signal(signal.SIGTERM)
         for node in self.nodes:
@@ -181,6 +186,6 @@
             wait_until(node.is_ready, WAIT_SECONDS, what)
 
 
-def list_all_holds(nodes):
-    """Return the fingerprints of the long holds of any of the nodes."""
-    return {fingerprint for node in nodes for fingerprint in node.list_holds()}
+def list_all_quarantines(nodes):
+    """Return the fingerprints of the confirmed quarantines of any of the nodes."""
+    return {fingerprint for node in nodes for fingerprint in node.list_quarantines()}
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of whole processes and of the repository itself."""
+"""Tests of complete processes and of the repository."""
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Tests of who may call: TLS on the control port, tokens and their services."""
+"""Tests of access control: TLS on the control port, tokens and their services."""
 
 import json
 import tempfile
@@ -41,14 +41,14 @@
         self.node = self.fleet.start_node("t1", **names)
         self.other = self.fleet.start_node("t2", "gva-a", **names)
 
-    def test_shown_certificate_is_taken(self):
-        shown = (f"--ca={CA}", f"--certificate={CERTIFICATE}", f"--key={KEY}")
-        applied = self.apply(self.node, *shown)
+    def test_client_certificate_is_accepted(self):
+        client_files = (f"--ca={CA}", f"--certificate={CERTIFICATE}", f"--key={KEY}")
+        applied = self.apply(self.node, *client_files)
         self.assertEqual(applied.returncode, 0, applied.stdout + applied.stderr)
-        status = self.fleet.run_cli(self.other, "status", "--wait=8", *shown)
+        status = self.fleet.run_cli(self.other, "status", "--wait=8", *client_files)
         self.assertEqual(status.returncode, 0, status.stdout + status.stderr)
 
-    def test_plain_call_is_refused(self):
+    def test_call_without_tls_is_refused(self):
         applied = self.apply(self.node)
         self.assertEqual(applied.returncode, 3)
         self.assertNotIn("Traceback", applied.stderr)
@@ -78,7 +78,7 @@
         self.assertEqual(self.apply(self.node).returncode, 6)
 
 
-class ClosedSettingsTests(unittest.TestCase):
+class InvalidSettingsTests(unittest.TestCase):
     def test_unreadable_certificate(self):
         from hingesill_node.environment import load_settings
 
--- a/tests/test_data_path.py
+++ b/tests/test_data_path.py
@@ -1,4 +1,4 @@
-"""Tests of the data path on real processes: framing, faults, promises."""
+"""Tests of the data path with real processes: framing, faults and promises."""
 
 import json
 import socket
@@ -23,7 +23,7 @@
 
 
 def send_raw(address, data):
-    """Send bytes on a new connection; return everything that comes back."""
+    """Send bytes on a new connection; return all bytes received."""
     host, port = address.split(":")
     with socket.create_connection((host, int(port)), timeout=5) as sock:
         sock.sendall(data)
@@ -38,8 +38,8 @@
             received += chunk
 
 
-class OneNode(unittest.TestCase):
-    """A node before two endpoints."""
+class OneNodeCase(unittest.TestCase):
+    """A node with two endpoints."""
 
     @classmethod
     def setUpClass(cls):
@@ -80,7 +80,7 @@
         return sum(record.get(request_id, 0) for record in records)
 
 
-class FramingTests(OneNode):
+class FramingTests(OneNodeCase):
     def check_refused(self, data, status=b" 400 "):
         received = send_raw(self.node.address, data)
         self.assertIn(status, received.split(b"\r\n", 1)[0])
@@ -109,7 +109,7 @@
             b"\r\n0\r\n\r\n"
         )
 
-    def test_nonsense(self):
+    def test_malformed_request_line(self):
         self.check_refused(b"\x00\x01\x02 what\r\n\r\n")
 
     def test_too_long_body(self):
@@ -118,7 +118,7 @@
             b" 413 ",
         )
 
-    def test_hop_by_hop_headers_stay_here(self):
+    def test_hop_by_hop_headers_are_accepted(self):
         response = self.request(
             "GET", "/boards", headers={"Connection": "X-Own", "X-Own": "1"}
         )
@@ -132,7 +132,7 @@
         self.assertEqual(response.headers["Hingesill-Reason"], "bad-header")
 
 
-class BodyTests(OneNode):
+class BodyTests(OneNodeCase):
     def test_long_body_with_length(self):
         data = b"a" * 3_000_000
         response = self.request("PUT", "/uploads", body=data)
@@ -143,7 +143,7 @@
         response = self.request("PUT", "/uploads", body=iter(parts))
         self.assertEqual(json.loads(response.data)["echo"], 1_000_000)
 
-    def test_long_answer(self):
+    def test_long_response(self):
         self.set_faults(body_bytes=5_000_000)
         response = self.request("GET", "/boards")
         self.assertEqual(len(response.data), 5_000_000)
@@ -153,7 +153,7 @@
         self.assertEqual((response.status, response.data), (200, b""))
         self.assertEqual(self.request("GET", "/boards").status, 200)
 
-    def test_half_sent_body_does_not_run(self):
+    def test_incomplete_body_does_not_run(self):
         head = (
             b"POST /moves HTTP/1.1\r\nHost: a\r\nHingesill-Request-Id: half\r\n"
             b"Content-Length: 10\r\n\r\nabc"
@@ -166,13 +166,13 @@
         self.assertEqual(self.count_runs("half"), 0)
 
 
-class AnswerTests(OneNode):
-    def test_short_long_answer_is_cut_off(self):
+class ResponseTests(OneNodeCase):
+    def test_truncated_long_response_is_cut_off(self):
         self.set_faults(body_bytes=3_000_000, short=True)
         with self.assertRaises(urllib3.exceptions.HTTPError):
             self.request("GET", "/boards")
 
-    def test_short_small_answer_of_a_move_is_unknown(self):
+    def test_truncated_short_response_of_a_move_is_unknown(self):
         self.set_faults(service_ms=1.0, short=True)
         response = self.request(
             "POST", "/moves", body=b"m", headers={"Hingesill-Request-Id": "short"}
@@ -199,7 +199,7 @@
         self.assertIn("Retry-After", response.headers)
         self.assertEqual(self.count_runs("refused"), 0)
 
-    def test_late_answer_is_given_up_on_at_once(self):
+    def test_late_response_times_out_at_the_deadline(self):
         self.set_faults(service_ms=1.0, hang=True)
         response = self.request(
             "POST", "/moves", body=b"m", headers={"Hingesill-Remaining-Ms": "200"}
@@ -207,7 +207,7 @@
         self.assertEqual(response.status, 504)
         self.assertEqual(response.headers["Hingesill-Outcome"], "unknown")
 
-    def test_fault_of_an_endpoint_is_passed_on(self):
+    def test_status_500_of_an_endpoint_is_forwarded(self):
         self.set_faults(fail_fast=True)
         self.assertEqual(self.request("POST", "/moves", body=b"m").status, 500)
 
@@ -216,12 +216,12 @@
         self.assertEqual(response.status, 404)
         self.assertEqual(response.headers["Hingesill-Outcome"], "not-run")
 
-    def test_layer_mark_is_passed_down(self):
+    def test_retry_layer_header_is_forwarded(self):
         response = self.request("GET", "/boards")
         self.assertEqual(json.loads(response.data)["layer"], "taken")
 
 
-class PlatformTests(OneNode):
+class PlatformTests(OneNodeCase):
     def test_ready_and_metrics(self):
         self.assertTrue(self.node.is_ready())
         url = f"http://{self.node.admin}/metrics"
@@ -251,7 +251,7 @@
         self.assertEqual(after, before)
         self.fleet.run_cli(self.node, "drain", "arena", leaving, "--cancel")
 
-    def test_endpoint_says_that_it_leaves(self):
+    def test_endpoint_reports_that_it_drains(self):
         leaving = self.fleet.endpoints[1]
         self.fleet.set_faults(leaving, service_ms=1.0, drain=True)
         for _ in range(10):
@@ -263,22 +263,22 @@
         after = sum(self.fleet.read_record(leaving)["ran"].values())
         self.assertEqual(after, before)
 
-    def test_record_of_the_stand_in_counts(self):
+    def test_record_of_the_endpoint(self):
         url = f"http://{self.fleet.endpoints[0]}/standin/record"
         self.assertIn("ran", call("GET", url))
 
 
-class RestTests(OneNode):
-    def test_requests_in_a_rest_that_an_endpoint_asked_for(self):
-        resting = self.fleet.endpoints[0]
-        self.fleet.set_faults(resting, service_ms=1.0, shed_above=-1, rest_s=1.5)
-        begun = time.monotonic()
-        before = self.fleet.read_record(resting)["refused"]
+class RestTests(OneNodeCase):
+    def test_no_requests_during_a_requested_backoff(self):
+        backing_off = self.fleet.endpoints[0]
+        self.fleet.set_faults(backing_off, service_ms=1.0, shed_above=-1, rest_s=1.5)
+        started = time.monotonic()
+        before = self.fleet.read_record(backing_off)["refused"]
         statuses = []
-        while time.monotonic() < begun + 1.2:
+        while time.monotonic() < started + 1.2:
             statuses.append(self.request("GET", "/boards").status)
-        refused = self.fleet.read_record(resting)["refused"] - before
+        refused = self.fleet.read_record(backing_off)["refused"] - before
         self.assertLessEqual(refused, 1)
-        # The one that was refused may find no retry left in the budget.
+        # The refused request may fail if the retry budget is exhausted.
         self.assertLessEqual(len(statuses) - statuses.count(200), 1)
-        self.fleet.set_faults(resting, service_ms=1.0)
+        self.fleet.set_faults(backing_off, service_ms=1.0)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Tests that pages and code say the same, in both directions."""
+"""Tests that the documentation and the code agree, in both directions."""
 
 import re
 import unittest
@@ -15,12 +15,12 @@
 
 
 def read_first_column(text):
-    """Return the code words in the first column of a page's tables."""
+    """Return the code literals in the first column of a page's tables."""
     return re.findall(r"^\| `([a-z_-]+)` \|", text, re.MULTILINE)
 
 
 def read_sources():
-    """Return the code of all packages and the adapter without their tests."""
+    """Return the source of all packages and the adapter, except tests, by file."""
     folders = (ROOT / "packages", ROOT / "platform")
     files = [f for folder in folders for f in folder.rglob("*.py")]
     files = [file for file in files if "tests" not in file.parts]
@@ -41,7 +41,7 @@
             for member in kind:
                 with self.subTest(member=member):
                     used = f"{kind.__name__}.{member.name}" in code
-                    self.assertTrue(used, "stands in the catalogue only")
+                    self.assertTrue(used, "defined but not used")
 
 
 class PageTests(unittest.TestCase):
@@ -66,7 +66,7 @@
     def test_events_page_is_up_to_date(self):
         self.assertEqual((DOCS / "EVENTS.md").read_text(), build_events_page())
 
-    def test_links_lead_somewhere(self):
+    def test_link_targets_exist(self):
         for page in [*DOCS.rglob("*.md"), ROOT / "README.md"]:
             for target in LINK.findall(page.read_text()):
                 if not target.startswith("http"):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Endpoints that name limits, with hingesill's own headers and several nodes."""
+"""Tests of endpoint rate limits in hingesill's own headers, with several nodes."""
 
 import tempfile
 import threading
@@ -14,10 +14,10 @@
 NODES = 3
 ENDPOINTS = 2
 LIMIT = 2.0
-# A limit holds from so long after an endpoint first named it.
+# Time after which a limit is enforced once an endpoint has first reported it.
 CONTACT_SECONDS = 3.0
 WINDOW_SECONDS = 4.0
-# One and a half times what the limit allows, and five.
+# Maximum number of requests: one and a half times the limit, plus five.
 ALLOWED = 1.5 * LIMIT * WINDOW_SECONDS + 5
 PAUSE_SECONDS = 0.03
 
@@ -33,12 +33,12 @@
         nodes = [self.fleet.start_node(f"n{number}") for number in range(NODES)]
         self.declare(nodes[0])
         self.answers = []
-        self.ended = threading.Event()
+        self.stopped = threading.Event()
         for node in nodes:
-            thread = threading.Thread(target=self.call_on, args=(node.address,))
+            thread = threading.Thread(target=self.send_requests, args=(node.address,))
             thread.start()
             self.addCleanup(thread.join)
-        self.addCleanup(self.ended.set)
+        self.addCleanup(self.stopped.set)
 
     def declare(self, node):
         file = self.fleet.folder / "arena.yaml"
@@ -53,9 +53,9 @@
         self.assertEqual(applied.returncode, 0, applied.stderr)
         self.fleet.run_cli(node, "status", "--wait=5")
 
-    def call_on(self, address):
+    def send_requests(self, address):
         host, port = address.split(":")
-        while not self.ended.wait(PAUSE_SECONDS):
+        while not self.stopped.wait(PAUSE_SECONDS):
             connection = HTTPConnection(host, int(port), timeout=3.0)
             try:
                 connection.request("GET", "/boards/1")
@@ -68,26 +68,26 @@
             finally:
                 connection.close()
 
-    def name(self, limit):
+    def set_limit(self, limit):
         for endpoint in self.fleet.endpoints:
             self.fleet.set_faults(endpoint, limit=limit)
 
     def count(self):
         return [self.fleet.read_record(e)["arrived"] for e in self.fleet.endpoints]
 
-    def test_all_nodes_keep_the_limit_and_use_it(self):
+    def test_all_nodes_respect_and_use_the_limit(self):
         time.sleep(1.0)
-        self.name(LIMIT)
+        self.set_limit(LIMIT)
         time.sleep(CONTACT_SECONDS)
         before = self.count()
         time.sleep(WINDOW_SECONDS)
-        got = [after - first for first, after in zip(before, self.count())]
-        self.assertLessEqual(max(got), ALLOWED)
-        self.assertGreater(sum(got), 0.5 * LIMIT * WINDOW_SECONDS * ENDPOINTS)
+        received = [after - earlier for earlier, after in zip(before, self.count())]
+        self.assertLessEqual(max(received), ALLOWED)
+        self.assertGreater(sum(received), 0.5 * LIMIT * WINDOW_SECONDS * ENDPOINTS)
         reasons = {reason for _, status, reason in self.answers if status == 503}
         self.assertEqual(reasons, {"endpoints-limited"})
-        self.name(None)
-        over = time.monotonic()
+        self.set_limit(None)
+        removed_at = time.monotonic()
         time.sleep(4.0)
-        statuses = [status for at, status, _ in self.answers if at > over + 2.5]
+        statuses = [status for at, status, _ in self.answers if at > removed_at + 2.5]
         self.assertGreater(statuses.count(200), 0.95 * len(statuses))
--- a/tests/test_matrix_checkers.py
+++ b/tests/test_matrix_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker of the matrix fails on a node with the rule left out."""
+"""Tests that each checker of the matrix detects a node that violates its rule."""
 
 import tempfile
 import unittest
@@ -15,7 +15,7 @@
 
 
 def run_scenario(stage_class, mutation, fault, step):
-    """Return the promises that a mutation breaks in a scenario."""
+    """Return the names of the promises that a mutation breaks in a scenario."""
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
         stage = stage_class(fleet, mutation)
         results = check_promises(stage.run(fault, step))
--- a/tests/test_model_replay.py
+++ b/tests/test_model_replay.py
@@ -1,4 +1,4 @@
-"""Ties the code to the specification: traces of it are replayed on the code."""
+"""Tests that traces of the specification can be replayed on the code."""
 
 import random
 import unittest
@@ -14,12 +14,12 @@
 from hingesill_core.store import KeyMissing, Value, VersionConflict, Written
 from model.spreading import OPERATIONS, Rules, State, list_steps
 
-WALKS = 300
-STEPS = 40
+TRACES = 300
+MAX_STEPS = 40
 
 
-class PlainStore:
-    """A store in memory without faults: the trace has them."""
+class MemoryStore:
+    """An in-memory store without faults, as the trace contains the faults."""
 
     def __init__(self):
         self.values = {}
@@ -35,28 +35,28 @@
 
 
 class Replay:
-    """Carries a trace out on the change log and replicas of the code."""
+    """Execution of a trace on the change log and replicas of the code."""
 
     def __init__(self):
-        self.log = ChangeLog(PlainStore(), "team")
+        self.log = ChangeLog(MemoryStore(), "team")
         self.relay = Replica()
         self.node = Replica()
         self.message = None
         self.tails = [self.log.read_tail()]
 
     def append(self, name):
-        """Write an operation; return what becomes of it."""
+        """Append an operation; return the result."""
         document = None if name == "t" else name
         change = ServiceChange("arena", document)
         request = ChangeRequest(name, "ann", (change,), (OPERATIONS[name],))
-        verdict = self.log.append(Replica(), request, lambda: True)
+        result = self.log.append(Replica(), request, lambda: True)
         tail = self.log.read_tail()
         if tail.revision == len(self.tails):
             self.tails.append(tail)
-        return verdict
+        return result
 
-    def follow(self, label, before):
-        """Do what a step of the specification says."""
+    def execute(self, label, before):
+        """Execute a step of the specification."""
         if label.endswith(("takes effect", "takes effect unheard")):
             assert isinstance(self.append(label[0]), Accepted)
         elif label.endswith("reads itself back"):
@@ -79,20 +79,20 @@
 
 class ReplayTests(unittest.TestCase):
     def test_code_follows_the_specification(self):
-        seen = set()
-        for number in range(WALKS):
-            rng = random.Random(number)
+        executed = set()
+        for seed in range(TRACES):
+            rng = random.Random(seed)
             state, replay = State(), Replay()
-            for _ in range(STEPS):
+            for _ in range(MAX_STEPS):
                 steps = list_steps(state, Rules())
                 if not steps:
                     break
                 label, after = rng.choice(steps)
-                replay.follow(label, state)
+                replay.execute(label, state)
                 state = after
-                seen.add(label.removeprefix(label[0]) if label[1] == " " else label)
+                executed.add(label.removeprefix(label[0]) if label[1] == " " else label)
                 self.compare(state, replay, label)
-        self.assertGreaterEqual(len(seen), 15)
+        self.assertGreaterEqual(len(executed), 15)
 
     def compare(self, state, replay, label):
         names = tuple(e.operation_id for e in replay.log.read_tail().entries)
--- a/tests/test_outage.py
+++ b/tests/test_outage.py
@@ -1,4 +1,4 @@
-"""Tests of nodes while the store is away or nobody can be reached."""
+"""Tests of nodes while the store is down or no other node is reachable."""
 
 import signal
 import tempfile
@@ -31,7 +31,7 @@
 
 
 class StartTests(OutageCase):
-    def test_new_node_is_not_ready_without_anybody(self):
+    def test_new_node_is_not_ready_in_isolation(self):
         self.fleet.set_store_faults(down=True)
         alone = self.fleet.start_node("alone", wait=False)
         time.sleep(3.0)
@@ -40,7 +40,7 @@
         self.fleet.set_store_faults()
         wait_until(alone.is_ready, 10.0, "readiness once the store is back")
 
-    def test_new_node_takes_the_newest_of_several(self):
+    def test_new_node_adopts_the_newest_configuration(self):
         nodes = [self.fleet.start_node(f"n{number}") for number in range(4)]
         self.assertEqual(self.apply(nodes[0], 1000).returncode, 0)
         self.fleet.run_cli(nodes[0], "status", "--wait=5")
@@ -56,7 +56,7 @@
 
 
 class IsolationTests(OutageCase):
-    def test_node_that_hears_nobody_is_not_ready(self):
+    def test_isolated_node_is_not_ready(self):
         settings = {"isolation-s": 1}
         alone = self.fleet.start_node("n1", **settings)
         other = self.fleet.start_node("n2", "gva-a", **settings)
@@ -64,14 +64,18 @@
         self.assertTrue(alone.is_ready())
         other.process.kill()
         self.fleet.set_store_faults(down=True)
-        wait_until(lambda: not alone.is_ready(), 12.0, "the sign of a lone node")
+        wait_until(
+            lambda: not alone.is_ready(),
+            12.0,
+            "the isolated node reports that it is not ready",
+        )
         self.fleet.set_store_faults()
         wait_until(alone.is_ready, 12.0, "readiness once the store is back")
 
 
 class DrainTests(OutageCase):
-    def test_drain_reaches_a_node_that_the_list_lacks(self):
-        """Both are relays, which follow nobody while the store answers."""
+    def test_drain_reaches_a_node_missing_from_the_list(self):
+        """Both nodes are relays, which follow no node while the store is available."""
         first = self.fleet.start_node("n1")
         second = self.fleet.start_node("n2")
         self.fleet.nodes.pop("n2")
@@ -82,12 +86,12 @@
         listed = f"[{{address: '{endpoint}', data_centre: lsn-a}}]"
         file.write_text(text.replace("endpoints: []", f"endpoints: {listed}"))
         self.assertEqual(self.fleet.run_cli(first, "apply", "-f", file).returncode, 0)
-        time.sleep(3.5)  # Until the list that lacks the second node is in force.
+        time.sleep(3.5)  # The list without the second node takes effect.
         drained = self.fleet.run_cli(first, "drain", "arena", endpoint)
         self.assertEqual(drained.returncode, 0, drained.stderr)
 
-        def is_told():
-            shown = self.fleet.run_cli(second, "explain", "GET", "/boards")
-            return "it is leaving" in shown.stdout
+        def is_drain_known():
+            explanation = self.fleet.run_cli(second, "explain", "GET", "/boards")
+            return "it is leaving" in explanation.stdout
 
-        wait_until(is_told, 6.0, "the sign at the second node")
+        wait_until(is_drain_known, 6.0, "the drain notice at the second node")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,32 +1,32 @@
-"""The fault soak: one seed holds, and its checkers see broken rules."""
+"""Tests that a soak seed passes and that its checkers detect violated rules."""
 
 import unittest
 
 from soak.main import run_seed
 
-# Endpoint cut, silent, slow; store delayed; a node killed.
+# Faults: endpoint cut, silent and slow; store delayed; node killed.
 SEED = 1
 
 
-# A broken rule shows only when an answer is lost at the right moment, which no
-# seed fixes: these faults lose many, in up to so many runs.
-LOSING = ["answers spoiled"]
+# A violated rule is detected only if a response is lost at the right moment, which no
+# seed determines: this fault loses many responses, and several seeds are tried.
+RESPONSE_FAULTS = ["answers spoiled"]
 SEEDS = range(1, 6)
 
 
-def is_seen(mutation):
-    """Tell whether one of the seeds shows that a rule is left out."""
-    return any(run_seed(seed, mutation, LOSING).violations for seed in SEEDS)
+def is_detected(mutation):
+    """Return whether one of the seeds detects a mutation."""
+    return any(run_seed(seed, mutation, RESPONSE_FAULTS).violations for seed in SEEDS)
 
 
 class SoakTests(unittest.TestCase):
-    def test_a_seed_holds(self):
+    def test_seed_without_violations(self):
         finding = run_seed(SEED)
         self.assertEqual(finding.violations, [])
         self.assertGreater(finding.calls, 100)
 
-    def test_a_move_that_is_repeated_is_seen(self):
-        self.assertTrue(is_seen("repeats moves"))
+    def test_repeated_move_is_detected(self):
+        self.assertTrue(is_detected("repeats moves"))
 
-    def test_a_lie_about_not_run_is_seen(self):
-        self.assertTrue(is_seen("lies about not run"))
+    def test_false_not_run_is_detected(self):
+        self.assertTrue(is_detected("lies about not run"))
