--- a/demo/main.py
+++ b/demo/main.py
@@ -34,7 +34,7 @@
         checks["the configuration was accepted"] = applied.returncode == 0
         waited = fleet.run_cli(first, "status", "--wait=10")
         print(waited.stdout + waited.stderr)
-        checks["it is in force on both nodes"] = waited.returncode == 0
+        checks["the configuration is in force on both nodes"] = waited.returncode == 0
         calls = run_load(fleet, first, second, checks)
         report(calls)
         check_promises(fleet, calls, checks)
@@ -45,7 +45,7 @@
     usable = [first.address, second.address]
     callers = [Caller(lambda: usable, REQUESTS).start() for _ in range(CALLERS)]
     time.sleep(LOAD_SECONDS)
-    print("stopping node-2 in a planned way")
+    print("stopping node-2 gracefully")
     second.process.terminate()
     wait_until(
         lambda: not second.is_ready(),
@@ -54,7 +54,7 @@
     )
     usable.remove(second.address)
     code = second.process.wait(STOP_SECONDS)
-    checks["the stopped node ended by itself with 0"] = code == 0
+    checks["the stopped node exited with status 0"] = code == 0
     time.sleep(LOAD_SECONDS)
     for caller in callers:
         caller.stop()
@@ -78,16 +78,18 @@
     ran = Counter()
     for endpoint in fleet.endpoints:
         ran.update(fleet.read_record(endpoint)["ran"])
-    checks["there were calls"] = len(calls) > 100
+    checks["more than 100 requests were sent"] = len(calls) > 100
     checks["no connection was cut"] = all(c.outcome != "cut" for c in calls)
-    checks["every answer was whole and the caller's own"] = all(c.whole for c in calls)
-    checks["nothing not repeatable ran twice"] = all(
+    checks["every response was complete and matched its request"] = all(
+        c.whole for c in calls
+    )
+    checks["no non-repeatable request ran twice"] = all(
         ran[c.request_id] <= 1 for c in calls if not c.repeatable
     )
-    checks["not run did not run"] = all(
+    checks["no request reported as not run was run"] = all(
         ran[c.request_id] == 0 for c in calls if c.outcome == "not-run"
     )
-    checks["answered did run"] = all(
+    checks["every answered request was run"] = all(
         ran[c.request_id] >= 1 for c in calls if c.outcome == "answered"
     )
 
@@ -97,9 +99,9 @@
     checks = {}
     with tempfile.TemporaryDirectory() as folder:
         run_demo(Path(folder), checks)
-    for what, held in checks.items():
-        print(f"{'held  ' if held else 'FAILED'} {what}")
-    failed = sum(not held for held in checks.values())
+    for name, passed in checks.items():
+        print(f"{'held  ' if passed else 'FAILED'} {name}")
+    failed = sum(not passed for passed in checks.values())
     print(f"{len(checks) - failed} passed, {failed} failed")
     return 1 if failed else 0
 
