--- a/demo/main.py
+++ b/demo/main.py
@@ -1,4 +1,4 @@
-"""Two nodes under load; one is stopped in a planned way. Exits 0 if all held."""
+"""Run two nodes under load and stop one gracefully; exit with 0 if all checks hold."""
 
 import sys
 import tempfile
@@ -23,7 +23,7 @@
 
 
 def run_demo(folder, checks):
-    """Run the demonstration; put the result of each check into ``checks``."""
+    """Run the demonstration; store the result of each check in ``checks``."""
     with Fleet(folder) as fleet:
         fleet.start_platform()
         declarations = fleet.write_example("zugzwang")
@@ -34,23 +34,27 @@
         checks["the configuration was accepted"] = applied.returncode == 0
         waited = fleet.run_cli(first, "status", "--wait=10")
         print(waited.stdout + waited.stderr)
-        checks["it is in force on both nodes"] = waited.returncode == 0
+        checks["the configuration is in force on both nodes"] = waited.returncode == 0
         calls = run_load(fleet, first, second, checks)
         report(calls)
         check_promises(fleet, calls, checks)
 
 
 def run_load(fleet, first, second, checks):
-    """Send requests through both nodes and stop one meanwhile."""
+    """Send requests through both nodes, and stop one of them."""
     usable = [first.address, second.address]
     callers = [Caller(lambda: usable, REQUESTS).start() for _ in range(CALLERS)]
     time.sleep(LOAD_SECONDS)
-    print("stopping node-2 in a planned way")
+    print("stopping node-2 gracefully")
     second.process.terminate()
-    wait_until(lambda: not second.is_ready(), 5.0, "the node's own sign")
+    wait_until(
+        lambda: not second.is_ready(),
+        5.0,
+        "the stopping node reports that it is not ready",
+    )
     usable.remove(second.address)
     code = second.process.wait(STOP_SECONDS)
-    checks["the stopped node ended by itself with 0"] = code == 0
+    checks["the stopped node exited with status 0"] = code == 0
     time.sleep(LOAD_SECONDS)
     for caller in callers:
         caller.stop()
@@ -60,7 +64,7 @@
 
 
 def report(calls):
-    """Print what became of the calls."""
+    """Print the outcomes and latencies of the calls."""
     for outcome, count in sorted(count_outcomes(calls).items()):
         print(f"  {outcome}: {count}")
     seconds = sorted(call.seconds for call in calls)
@@ -70,20 +74,22 @@
 
 
 def check_promises(fleet, calls, checks):
-    """Compare what callers were told with what the endpoints ran."""
+    """Compare the responses that callers received with the endpoints' records."""
     ran = Counter()
     for endpoint in fleet.endpoints:
         ran.update(fleet.read_record(endpoint)["ran"])
-    checks["there were calls"] = len(calls) > 100
+    checks["more than 100 requests were sent"] = len(calls) > 100
     checks["no connection was cut"] = all(c.outcome != "cut" for c in calls)
-    checks["every answer was whole and the caller's own"] = all(c.whole for c in calls)
-    checks["nothing not repeatable ran twice"] = all(
+    checks["every response was complete and matched its request"] = all(
+        c.whole for c in calls
+    )
+    checks["no non-repeatable request ran twice"] = all(
         ran[c.request_id] <= 1 for c in calls if not c.repeatable
     )
-    checks["not run did not run"] = all(
+    checks["no request reported as not run was run"] = all(
         ran[c.request_id] == 0 for c in calls if c.outcome == "not-run"
     )
-    checks["answered did run"] = all(
+    checks["every answered request was run"] = all(
         ran[c.request_id] >= 1 for c in calls if c.outcome == "answered"
     )
 
@@ -93,9 +99,9 @@
     checks = {}
     with tempfile.TemporaryDirectory() as folder:
         run_demo(Path(folder), checks)
-    for what, held in checks.items():
-        print(f"{'held  ' if held else 'FAILED'} {what}")
-    failed = sum(not held for held in checks.values())
+    for name, passed in checks.items():
+        print(f"{'held  ' if passed else 'FAILED'} {name}")
+    failed = sum(not passed for passed in checks.values())
     print(f"{len(checks) - failed} passed, {failed} failed")
     return 1 if failed else 0
 
