--- a/packages/hingesill-node/hingesill_node/datapath/application.py
+++ b/packages/hingesill-node/hingesill_node/datapath/application.py
@@ -108,7 +108,7 @@
         target = ticket.route.target or ticket.route.timeout
         if not refused:
             self.counters.latencies[service].record(seconds)
-            ordinary = not refused and ticket.sends <= 1 and seconds <= target
+        ordinary = not refused and ticket.sends <= 1 and seconds <= target
         log_event(
             Event.REQUEST_ANSWERED if ordinary else Event.REQUEST_IN_TROUBLE,
             request=request.request_id,
