--- a/model/__init__.py
+++ b/model/__init__.py
@@ -1,1 +1,1 @@
-"""A small specification of the protocols, checked exhaustively by minicheck."""
+"""Specifications of the protocols, model-checked exhaustively by minicheck."""
--- a/model/granting.py
+++ b/model/granting.py
@@ -1,9 +1,9 @@
-"""The specification of what coordinators grant of one endpoint's limit.
+"""Specification of the grants that coordinators issue from one endpoint's rate limit.
 
-Time goes in ticks. Nodes ask the first coordinator, or the second one, which grants at
-half the pace, and may believe in either at any time, as lists differ and datagrams are
-lost. A coordinator may start anew and forget what it granted. Which node holds a grant
-makes no difference, so grants have no owners.
+Time advances in ticks. Nodes request grants from the first coordinator or from the
+second one, which grants at half the rate. Either may be in use at any time, as node
+lists differ and datagrams are lost. A coordinator may restart and lose the record of
+its grants. The node that holds a grant makes no difference, so grants have no owners.
 """
 
 from dataclasses import dataclass
@@ -15,107 +15,112 @@
 
 INTERVAL = 2
 HORIZON = 1
-LIFE = 1
+GRANT_TTL = 1
 WINDOW = 6
 LAST_TICK = 8
-RESTARTS = 1
-# One and a half times what the limit allows, one more of each coordinator at the edges
-# of the window, and one that a coordinator which starts anew gives out again.
-BUDGET = 3 * WINDOW // (2 * INTERVAL) + 2 + RESTARTS
+MAX_RESTARTS = 1
+# One and a half times the limit, one extra grant of each coordinator at the edges of
+# the window, and one grant that a restarted coordinator issues a second time.
+BUDGET = 3 * WINDOW // (2 * INTERVAL) + 2 + MAX_RESTARTS
 
 
 @dataclass(frozen=True)
 class Rules:
-    """The rules of granting; all hold in the one that is built."""
+    """Rules of granting; the implementation follows all of them."""
 
-    second_grants_half: bool = True
-    saves_nothing: bool = True
-    grants_end: bool = True
+    second_grants_half_rate: bool = True
+    unused_rate_expires: bool = True
+    grants_expire: bool = True
 
 
 BROKEN = {
-    "the second coordinator grants all": Rules(second_grants_half=False),
-    "an endpoint that was left alone has saved grants up": Rules(saves_nothing=False),
-    "grants do not end": Rules(grants_end=False),
+    "the second coordinator grants all": Rules(second_grants_half_rate=False),
+    "an endpoint that was left alone has saved grants up": Rules(
+        unused_rate_expires=False
+    ),
+    "grants do not end": Rules(grants_expire=False),
 }
 
 
 class State(NamedTuple):
     """The clock, the coordinators, and the grants.
 
-    ``free_at`` is when each coordinator may grant again. ``held`` are the times from
-    which grants that were not used may be used, ``sends`` the ticks of the sends.
+    ``next_grant_at`` is the tick from which each coordinator may grant again.
+    ``unused`` has the tick from which each unused grant is valid, ``sends`` the ticks
+    of the sends.
     """
 
     now: int = 0
-    free_at: tuple = (0, 0)
-    held: tuple = ()
+    next_grant_at: tuple = (0, 0)
+    unused: tuple = ()
     sends: tuple = ()
     restarts: int = 0
 
 
-def put(values, index, value):
-    """Return the values with one replaced."""
+def replace_at(values, index, value):
+    """Return a copy of the tuple with one value replaced."""
     return tuple(value if i == index else old for i, old in enumerate(values))
 
 
 def list_steps(state, rules):
-    """Return every (label, state) that can follow."""
+    """Return the (label, next state) pairs of all enabled transitions."""
     state = State(*state)
     steps = []
     if state.now < LAST_TICK:
         steps.append(("tick", tick(state, rules)))
-    for coordinator in range(len(state.free_at)):
+    for coordinator in range(len(state.next_grant_at)):
         steps += list_grant_steps(state, coordinator, rules)
-    if state.restarts < RESTARTS:
+    if state.restarts < MAX_RESTARTS:
         steps.append(("0 starts anew", restart(state, 0)))
-    for at in sorted(set(state.held)):
+    for at in sorted(set(state.unused)):
         if at <= state.now:
-            held = list(state.held)
-            held.remove(at)
+            unused = list(state.unused)
+            unused.remove(at)
             sends = (*state.sends, state.now)
             steps.append(
-                ("a node sends", state._replace(held=tuple(held), sends=sends))
+                ("a node sends", state._replace(unused=tuple(unused), sends=sends))
             )
     return steps
 
 
 def tick(state, rules):
-    """Return the state a tick later, without what no longer counts."""
+    """Return the state one tick later, without expired grants and old sends."""
     now = state.now + 1
-    held = state.held
-    if rules.grants_end:
-        held = tuple(at for at in held if now <= at + LIFE)
+    unused = state.unused
+    if rules.grants_expire:
+        unused = tuple(at for at in unused if now <= at + GRANT_TTL)
     else:
-        # Grants that may be used and do not end are all alike.
-        held = tuple(sorted(max(at, now) for at in held))
+        # Valid grants that never expire are interchangeable.
+        unused = tuple(sorted(max(at, now) for at in unused))
     sends = tuple(at for at in state.sends if at > now - WINDOW)
-    return state._replace(now=now, held=held, sends=sends)
+    return state._replace(now=now, unused=unused, sends=sends)
 
 
 def restart(state, coordinator):
-    """Return the state in which a coordinator has forgotten what it granted."""
-    free_at = put(state.free_at, coordinator, state.now)
-    return state._replace(free_at=free_at, restarts=state.restarts + 1)
+    """Return the state after a coordinator restarted and lost its grant record."""
+    next_grant_at = replace_at(state.next_grant_at, coordinator, state.now)
+    return state._replace(next_grant_at=next_grant_at, restarts=state.restarts + 1)
 
 
 def list_grant_steps(state, coordinator, rules):
-    """Yield a grant; one that is lost on its way is one that is never used."""
-    at = state.free_at[coordinator]
+    """Yield a grant if one is due; a lost grant equals a grant that is never used."""
+    at = state.next_grant_at[coordinator]
     if at > state.now + HORIZON:
         return
     interval = INTERVAL
-    if coordinator and rules.second_grants_half:
+    if coordinator and rules.second_grants_half_rate:
         interval *= 2
-    if rules.saves_nothing:
+    if rules.unused_rate_expires:
         at = max(at, state.now)
-    granted = state._replace(free_at=put(state.free_at, coordinator, at + interval))
-    held = tuple(sorted((*state.held, at)))
-    yield f"{coordinator} grants", granted._replace(held=held)
+    granted = state._replace(
+        next_grant_at=replace_at(state.next_grant_at, coordinator, at + interval)
+    )
+    unused = tuple(sorted((*state.unused, at)))
+    yield f"{coordinator} grants", granted._replace(unused=unused)
 
 
 def build_protocol(rules=Rules()):
-    """Return the specification as minicheck takes it."""
+    """Return the specification as a minicheck protocol."""
     return Protocol(
         name="granting",
         candidate=False,
--- a/model/lives.py
+++ b/model/lives.py
@@ -1,11 +1,11 @@
-"""The specification of endpoints that start again under their identity.
+"""Specification of endpoints that restart under the same identity.
 
-An endpoint says where it stands in entries that are numbered anew in each life; a word
-of an earlier life may still be under way, and come after any later one. It may say that
-it leaves, which binds that life only. A node holds the newest word that it knows.
+An endpoint announces its state in entries whose sequence numbers start over with each
+incarnation. An entry of an earlier incarnation may still be in flight and arrive after
+any later one. An endpoint may announce that it leaves, which applies to that
+incarnation only. A node keeps the newest entry that it knows.
 
-`Rules` names each rule that a promise rests on. The variants in `BROKEN` each leave
-one out.
+`Rules` names each rule that a property depends on. Each variant in `BROKEN` omits one.
 """
 
 from dataclasses import dataclass
@@ -15,99 +15,103 @@
 
 __all__ = ["BROKEN", "Rules", "State", "build_protocol", "list_steps"]
 
-MOST_LIVES = 3
-MOST_WORDS = 2
+MAX_INCARNATIONS = 3
+MAX_ENTRIES_PER_INCARNATION = 2
 
 
 @dataclass(frozen=True)
 class Rules:
-    """The rules of lives; all hold in what is built."""
+    """Rules of incarnations; the implementation follows all of them."""
 
-    life_goes_before_number: bool = True
-    number_orders_in_a_life: bool = True
-    drain_ends_with_the_life: bool = True
+    incarnation_precedes_sequence: bool = True
+    sequence_orders_incarnation: bool = True
+    drain_ends_with_incarnation: bool = True
 
 
 BROKEN = {
-    "numbers alone tell which word is newer": Rules(life_goes_before_number=False),
-    "the last word that comes counts": Rules(number_orders_in_a_life=False),
-    "a drain binds whoever has the identity": Rules(drain_ends_with_the_life=False),
+    "numbers alone tell which word is newer": Rules(
+        incarnation_precedes_sequence=False
+    ),
+    "the last word that comes counts": Rules(sequence_orders_incarnation=False),
+    "a drain binds whoever has the identity": Rules(drain_ends_with_incarnation=False),
 }
 
 
-class Word(NamedTuple):
-    """What an endpoint said: its life, the number of the word, and if it leaves."""
+class Entry(NamedTuple):
+    """Announced entry: incarnation, sequence number and whether the endpoint leaves."""
 
-    life: int = 0
-    number: int = 0
+    incarnation: int = 0
+    sequence: int = 0
     leaves: bool = False
 
 
 class State(NamedTuple):
-    """The endpoint's last word, one that is under way, and what the node holds.
+    """The endpoint's last entry, an earlier one in flight, and the node's entry.
 
-    ``went_back`` notes that the node took a word of an earlier life, ``sent_to_leaver``
-    that it would send to a life that it knew to leave.
+    ``went_back`` records that the node accepted an entry of an earlier incarnation,
+    ``sent_to_leaver`` that it would send to an incarnation known to be leaving.
     """
 
-    said: Word = Word(1, 1)
-    under_way: Word = Word()
-    held: Word = Word()
+    announced: Entry = Entry(1, 1)
+    in_flight: Entry = Entry()
+    held: Entry = Entry()
     went_back: bool = False
     sent_to_leaver: bool = False
 
 
-def is_newer(word, held, rules):
-    """Tell whether a node takes a word in place of the one that it holds."""
-    if not rules.life_goes_before_number:
-        return word.number > held.number
-    if not rules.number_orders_in_a_life:
-        return word.life >= held.life
-    return word[:2] > held[:2]
+def is_newer(entry, held, rules):
+    """Return whether a received entry replaces the one that the node holds."""
+    if not rules.incarnation_precedes_sequence:
+        return entry.sequence > held.sequence
+    if not rules.sequence_orders_incarnation:
+        return entry.incarnation >= held.incarnation
+    return entry[:2] > held[:2]
 
 
-def take(state, word, rules):
-    """Return the state after a word came to the node."""
+def apply_entry(state, entry, rules):
+    """Return the state after the node received an entry."""
     held = state.held
-    if not is_newer(word, held, rules):
+    if not is_newer(entry, held, rules):
         return state
-    if held.leaves and not rules.drain_ends_with_the_life:
-        word = word._replace(leaves=True)
-    forgets = held.leaves and not word.leaves and word.life == held.life
+    if held.leaves and not rules.drain_ends_with_incarnation:
+        entry = entry._replace(leaves=True)
+    forgets = held.leaves and not entry.leaves and entry.incarnation == held.incarnation
     return state._replace(
-        held=word,
-        went_back=state.went_back or word.life < held.life,
+        held=entry,
+        went_back=state.went_back or entry.incarnation < held.incarnation,
         sent_to_leaver=state.sent_to_leaver or forgets,
     )
 
 
 def list_steps(state, rules):
-    """Return every (label, state) that can follow."""
-    said, under_way, held = (Word(*word) for word in state[:3])
-    state = State(said, under_way, held, *state[3:])
-    steps = [("the word comes to the node", take(state, said, rules))]
-    if under_way.life:
-        late = take(state, under_way, rules)._replace(under_way=Word())
+    """Return the (label, next state) pairs of all enabled transitions."""
+    announced, in_flight, held = (Entry(*entry) for entry in state[:3])
+    state = State(announced, in_flight, held, *state[3:])
+    steps = [("the word comes to the node", apply_entry(state, announced, rules))]
+    if in_flight.incarnation:
+        late = apply_entry(state, in_flight, rules)._replace(in_flight=Entry())
         steps.append(("an earlier word comes late", late))
-    if said.number < MOST_WORDS:
-        again = said._replace(number=said.number + 1)
-        steps.append(("it says the same again", state._replace(said=again)))
+    if announced.sequence < MAX_ENTRIES_PER_INCARNATION:
+        again = announced._replace(sequence=announced.sequence + 1)
+        steps.append(("it says the same again", state._replace(announced=again)))
         leaving = again._replace(leaves=True)
-        left = state._replace(said=leaving, under_way=said)
+        left = state._replace(announced=leaving, in_flight=announced)
         steps.append(("it begins to leave", left))
-    if said.life < MOST_LIVES:
-        begun = state._replace(said=Word(said.life + 1, 1), under_way=said)
+    if announced.incarnation < MAX_INCARNATIONS:
+        begun = state._replace(
+            announced=Entry(announced.incarnation + 1, 1), in_flight=announced
+        )
         steps.append(("it starts again", begun))
     return [(label, after) for label, after in steps if after != state]
 
 
 def is_settled(state):
-    """Tell whether the node holds the endpoint's last word."""
-    return tuple(state["held"]) == tuple(state["said"])
+    """Return whether the node holds the endpoint's last entry."""
+    return tuple(state["held"]) == tuple(state["announced"])
 
 
 def build_protocol(rules=Rules()):
-    """Return the specification as minicheck takes it."""
+    """Return the specification as a minicheck protocol."""
     return Protocol(
         name="lives",
         candidate=False,
--- a/model/main.py
+++ b/model/main.py
@@ -1,4 +1,4 @@
-"""Checks the specifications and their broken variants: ``make model-check``."""
+"""Model-check the specifications and their broken variants: ``make model-check``."""
 
 import json
 import sys
@@ -10,22 +10,23 @@
 
 __all__ = ["Report", "check_all", "main"]
 
-MOST_STATES = 1_000_000
+MAX_STATES = 1_000_000
 LIVENESS = "under fair delivery every live node ends at the newest version"
 
 
 @dataclass
 class Report:
-    """What was checked.
+    """Results of the model checking.
 
     Attributes
     ----------
     states : int
-        Reachable states of the specifications as built.
+        Number of reachable states of the unbroken specifications.
     properties : dict
-        Whether each property holds; None if that could not be determined.
+        Whether each property holds; None if the checker could not decide.
     caught : dict
-        For each broken variant, the property that fails with the shortest trace.
+        For each broken variant, the violated property with the shortest trace and
+        the labels of that trace; None if no property fails.
     """
 
     states: int = 0
@@ -34,8 +35,8 @@
 
 
 def check_protocol(protocol):
-    """Return (states, {property: (holds, trace)})."""
-    result = check_safety(protocol, MOST_STATES)
+    """Return the state count and {property: (holds, trace)} of a protocol."""
+    result = check_safety(protocol, MAX_STATES)
     found = {
         name: (item["holds"], item.get("counterexample"))
         for name, item in result["properties"].items()
@@ -47,14 +48,14 @@
 
 
 def check_all():
-    """Return the Report of all specifications and variants."""
+    """Check all specifications and broken variants and return the report."""
     report = Report()
     for module in (spreading, probing, restoring, granting, watching, lives):
         protocol = module.build_protocol()
         states, found = check_protocol(protocol)
         report.states += states
         for name, (holds, _) in found.items():
-            # Specifications may share a property, which must hold in each.
+            # Specifications may share a property name; the protocol keeps them apart.
             report.properties[f"{name} ({protocol.name})"] = holds
         for variant, rules in module.BROKEN.items():
             _, found = check_protocol(module.build_protocol(rules))
@@ -63,7 +64,7 @@
 
 
 def find_shortest(found):
-    """Return (property, labels) of the shortest violation, or None."""
+    """Return the property and labels of the shortest counterexample, or None."""
     failed = [
         (name, [step["label"] for step in trace if step["label"]])
         for name, (holds, trace) in found.items()
@@ -73,7 +74,7 @@
 
 
 def main():
-    """Print what was found; return the exit code."""
+    """Print the results and return the exit code."""
     report = check_all()
     for name, holds in report.properties.items():
         print(
--- a/model/probing.py
+++ b/model/probing.py
@@ -1,7 +1,7 @@
-"""The specification of one share of the probe budget and its changing holders.
+"""Specification of one share of the probe budget and its changing holders.
 
-Time goes in ticks. A holder checks its lease and its pace, may then be paused,
-and sends. The store gives the lease to another once it has lapsed there.
+Time advances in ticks. A holder checks its lease and its probe rate, may then be
+paused, and sends. The store grants the lease to another node once it has expired there.
 """
 
 from dataclasses import dataclass
@@ -17,13 +17,13 @@
 INTERVAL = 2
 WINDOW = 4
 LAST_TICK = 7
-# Spaced probes in a window, and one late one for each lease that can change hands.
+# Evenly spaced probes in a window and one delayed probe for each change of holder.
 BUDGET = WINDOW // INTERVAL + WINDOW // TTL + 1
 
 
 @dataclass(frozen=True)
 class Rules:
-    """The rules of probing; all hold in the one that is built."""
+    """Rules of probing; the implementation follows all of them."""
 
     checks_own_clock: bool = True
     starts_empty: bool = True
@@ -42,27 +42,27 @@
 class State(NamedTuple):
     """The clock, the store's holder, and the nodes.
 
-    ``until`` is when the lease lapses in the store. Each node has the time until
-    which it counts on the lease (-1 for none), its next probe's time, and
-    whether it has checked but not sent. ``sends`` are the ticks of the sends.
+    ``until`` is the tick at which the lease expires in the store. Each node has the
+    tick until which it relies on the lease (-1 for none), the tick of its next probe,
+    and whether it has checked but not yet sent. ``sends`` has the ticks of the sends.
     """
 
     now: int = 0
     holder: int = -1
     until: int = 0
-    counted: tuple = (-1,) * NODES
+    relied_until: tuple = (-1,) * NODES
     next_at: tuple = (0,) * NODES
     checked: tuple = (False,) * NODES
     sends: tuple = ()
 
 
-def put(values, index, value):
-    """Return the values with one replaced."""
+def replace_at(values, index, value):
+    """Return a copy of the tuple with one value replaced."""
     return tuple(value if i == index else old for i, old in enumerate(values))
 
 
 def list_steps(state, rules):
-    """Return every (label, state) that can follow."""
+    """Return the (label, next state) pairs of all enabled transitions."""
     state = State(*state)
     steps = []
     if state.now < LAST_TICK:
@@ -75,38 +75,39 @@
 
 
 def list_lease_steps(state, node, rules):
-    """Yield taking and renewing the lease."""
+    """Yield the acquisition and renewal of the lease."""
     until = state.now + TTL
-    counted = put(state.counted, node, until - MARGIN)
-    lapsed = state.holder == -1 or state.now >= state.until
-    if lapsed and state.holder != node:
+    relied_until = replace_at(state.relied_until, node, until - MARGIN)
+    is_expired = state.holder == -1 or state.now >= state.until
+    if is_expired and state.holder != node:
         wait = INTERVAL if rules.starts_empty else 0
-        taken = state._replace(holder=node, until=until, counted=counted)
-        yield f"{node} takes the lease", taken._replace(
-            next_at=put(state.next_at, node, state.now + wait)
+        acquired = state._replace(holder=node, until=until, relied_until=relied_until)
+        yield f"{node} takes the lease", acquired._replace(
+            next_at=replace_at(state.next_at, node, state.now + wait)
         )
     if state.holder == node and state.now < state.until < until:
-        yield f"{node} renews", state._replace(until=until, counted=counted)
+        yield f"{node} renews", state._replace(until=until, relied_until=relied_until)
 
 
 def list_probe_steps(state, node, rules):
-    """Yield checking, and sending some time later."""
-    held = state.counted[node] >= 0
+    """Yield the check before a probe and the later send."""
+    held = state.relied_until[node] >= 0
     if rules.checks_own_clock:
-        held = state.now < state.counted[node]
+        held = state.now < state.relied_until[node]
     if held and not state.checked[node] and state.now >= state.next_at[node]:
         yield f"{node} checks", state._replace(
-            checked=put(state.checked, node, True),
-            next_at=put(state.next_at, node, state.now + INTERVAL),
+            checked=replace_at(state.checked, node, True),
+            next_at=replace_at(state.next_at, node, state.now + INTERVAL),
         )
     if state.checked[node]:
         yield f"{node} sends", state._replace(
-            checked=put(state.checked, node, False), sends=(*state.sends, state.now)
+            checked=replace_at(state.checked, node, False),
+            sends=(*state.sends, state.now),
         )
 
 
 def build_protocol(rules=Rules()):
-    """Return the specification as minicheck takes it."""
+    """Return the specification as a minicheck protocol."""
     return Protocol(
         name="probing",
         candidate=False,
--- a/model/restoring.py
+++ b/model/restoring.py
@@ -1,12 +1,11 @@
-"""The specification of following a store that comes back from an older copy.
+"""Specification of following a store that is restored from an older copy.
 
-An operator declares versions; the store keeps a copy and comes back from it, once or
-twice, and then lacks what was accepted since. The operator writes its newest version
-again some time. A relay reads the store and watches it, a node takes the relay's word,
-and either may be started anew.
+An operator declares versions. The store keeps a copy and is restored from it once or
+twice, which loses the versions accepted since. The operator eventually writes its
+newest version again. A relay reads and watches the store, a node applies the relay's
+reports, and the node may be replaced.
 
-`Rules` names each rule that a promise rests on. The variants in `BROKEN` each leave
-one out.
+`Rules` names each rule that a property depends on. Each variant in `BROKEN` omits one.
 """
 
 from dataclasses import dataclass
@@ -16,30 +15,30 @@
 
 __all__ = ["BROKEN", "Rules", "State", "build_protocol", "list_steps"]
 
-MOST_VERSIONS = 2
-MOST_REVISIONS = 2
+MAX_VERSIONS = 2
+MAX_REVISIONS = 2
 
 
 @dataclass(frozen=True)
 class Rules:
-    """The rules of following; all hold in what is built."""
+    """Rules of following; the implementation follows all of them."""
 
     compares_eras: bool = True
     keeps_accepted: bool = True
-    reads_whole_in_a_new_era: bool = True
-    asks_others_before_start: bool = True
+    rereads_in_new_era: bool = True
+    queries_peers_before_start: bool = True
 
 
 BROKEN = {
     "a revision is a position of its own": Rules(compares_eras=False),
     "what the store tells replaces what was accepted": Rules(keeps_accepted=False),
-    "a watch goes on over a restore": Rules(reads_whole_in_a_new_era=False),
-    "a node serves by what it has read": Rules(asks_others_before_start=False),
+    "a watch goes on over a restore": Rules(rereads_in_new_era=False),
+    "a node serves by what it has read": Rules(queries_peers_before_start=False),
 }
 
 
 class Store(NamedTuple):
-    """The store: its position, the version that it holds and where that was written."""
+    """Position of the store, its version and the revision that wrote the version."""
 
     era: int = 1
     revision: int = 0
@@ -48,7 +47,7 @@
 
 
 class Known(NamedTuple):
-    """What a relay or a node holds; nothing in era 0."""
+    """Records of a relay or a node; empty in era 0."""
 
     era: int = 0
     revision: int = 0
@@ -58,9 +57,9 @@
 class State(NamedTuple):
     """The store, its copy, the relay and the node.
 
-    ``late`` is an answer of the store as it was before the last restore.
-    ``went_back`` notes that a running node lost a version, ``began_behind`` that one
-    began to serve by less than the relay held.
+    ``late`` is a delayed answer of the store from before the last restore.
+    ``went_back`` records that a running relay or node lost a version,
+    ``began_behind`` that a node began to serve with an older version than the relay's.
     """
 
     store: Store = Store()
@@ -74,40 +73,44 @@
     began_behind: bool = False
 
 
-def tell(store):
-    """Return what a whole read of the store tells."""
+def read_store(store):
+    """Return the result of a full read of the store."""
     return Known(store.era, store.revision, store.version)
 
 
-def take(held, told, rules):
-    """Return what is held after it was told all that another holds."""
+def apply_report(known, reported, rules):
+    """Return the records after a full report was applied to them."""
     if rules.compares_eras:
-        is_behind = told[:2] < held[:2]
+        is_behind = reported[:2] < known[:2]
     else:
-        is_behind = told.revision < held.revision
+        is_behind = reported.revision < known.revision
     if is_behind:
-        return held
-    version = max(held.version, told.version) if rules.keeps_accepted else told.version
-    return Known(told.era, told.revision, version)
+        return known
+    version = (
+        max(known.version, reported.version)
+        if rules.keeps_accepted
+        else reported.version
+    )
+    return Known(reported.era, reported.revision, version)
 
 
-def watch(held, store):
-    """Return what is held after a watch told what came after its revision."""
-    if store.revision <= held.revision:
-        return held
-    version = held.version
-    if store.written_at > held.revision:
+def watch(known, store):
+    """Return the records after a watch reported the events since their revision."""
+    if store.revision <= known.revision:
+        return known
+    version = known.version
+    if store.written_at > known.revision:
         version = max(version, store.version)
     return Known(store.era, store.revision, version)
 
 
 def list_store_steps(state):
-    """Yield what the operator and others write, copies and restores."""
+    """Yield the writes of the operator and other clients, copies and restores."""
     store = state.store
     revision = store.revision + 1
-    if revision <= MOST_REVISIONS:
+    if revision <= MAX_REVISIONS:
         yield "others write", state._replace(store=store._replace(revision=revision))
-    if state.accepted < MOST_VERSIONS and store.version == state.accepted:
+    if state.accepted < MAX_VERSIONS and store.version == state.accepted:
         written = Store(store.era, revision, state.accepted + 1, revision)
         yield "a version is accepted", state._replace(
             store=written, accepted=state.accepted + 1
@@ -120,52 +123,52 @@
             yield "a copy is kept", state._replace(copy=store)
         restored = state.copy._replace(era=store.era + 1)
         yield "the store comes back from its copy", state._replace(
-            store=restored, late=tell(store), faults=state.faults - 1
+            store=restored, late=read_store(store), faults=state.faults - 1
         )
 
 
 def list_relay_steps(state, rules):
-    """Yield the relay's reads and watches, and late answers to it."""
+    """Yield the relay's reads and watches and the late answers that it receives."""
     is_other_era = state.relay.era != state.store.era
-    if state.relay.era == 0 or (is_other_era and rules.reads_whole_in_a_new_era):
-        read = take(state.relay, tell(state.store), rules)
-        yield "relay reads", note(state, state._replace(relay=read))
+    if state.relay.era == 0 or (is_other_era and rules.rereads_in_new_era):
+        read = apply_report(state.relay, read_store(state.store), rules)
+        yield "relay reads", record_regression(state, state._replace(relay=read))
     else:
         watched = watch(state.relay, state.store)
-        yield "relay watches", note(state, state._replace(relay=watched))
+        yield "relay watches", record_regression(state, state._replace(relay=watched))
     if state.late.era and state.relay.era:
-        late = take(state.relay, state.late, rules)
-        heard = state._replace(relay=late, late=Known())
-        yield "an answer comes late", note(state, heard)
+        late = apply_report(state.relay, state.late, rules)
+        received = state._replace(relay=late, late=Known())
+        yield "an answer comes late", record_regression(state, received)
 
 
 def list_node_steps(state, rules):
-    """Yield the node's starts and what the relay tells it."""
+    """Yield the node's starts and replacements and the relay's reports to it."""
     if state.node.era == 0:
-        begun = tell(state.store)
-        if rules.asks_others_before_start and state.relay.version > begun.version:
-            begun = begun._replace(version=state.relay.version)
-        behind = state.began_behind or begun.version < state.relay.version
-        yield "node starts", state._replace(node=begun, began_behind=behind)
+        started = read_store(state.store)
+        if rules.queries_peers_before_start and state.relay.version > started.version:
+            started = started._replace(version=state.relay.version)
+        behind = state.began_behind or started.version < state.relay.version
+        yield "node starts", state._replace(node=started, began_behind=behind)
     elif state.relay.era:
-        told = take(state.node, state.relay, rules)
-        yield "relay tells", note(state, state._replace(node=told))
+        reported = apply_report(state.node, state.relay, rules)
+        yield "relay tells", record_regression(state, state._replace(node=reported))
     if state.faults:
         fewer = state._replace(faults=state.faults - 1)
         yield "node is replaced", fewer._replace(node=Known())
 
 
-def note(before, after):
-    """Note that a running relay or node holds less than before."""
-    is_back = (
+def record_regression(before, after):
+    """Record in the state whether a running relay or node lost a version."""
+    is_regression = (
         after.relay.version < before.relay.version
         or after.node.version < before.node.version
     )
-    return after._replace(went_back=after.went_back or is_back)
+    return after._replace(went_back=after.went_back or is_regression)
 
 
 def list_steps(state, rules):
-    """Return every (label, state) that can follow."""
+    """Return the (label, next state) pairs of all enabled transitions."""
     state = State(*state)
     state = state._replace(
         store=Store(*state.store),
@@ -183,13 +186,13 @@
 
 
 def is_settled(state):
-    """Tell whether relay and node hold what was accepted, and the store too."""
+    """Return whether store, relay and node all hold the last accepted version."""
     versions = (state["store"][2], state["relay"][2], state["node"][2])
     return set(versions) == {state["accepted"]}
 
 
 def build_protocol(rules=Rules()):
-    """Return the specification as minicheck takes it."""
+    """Return the specification as a minicheck protocol."""
     return Protocol(
         name="restoring",
         candidate=False,
--- a/model/spreading.py
+++ b/model/spreading.py
@@ -1,12 +1,11 @@
-"""The specification of accepting and spreading changes.
+"""Specification of accepting and distributing configuration changes.
 
-Three operations touch one service: ``a`` and ``b`` race to create it, ``t``
-removes what ``a`` made. A relay reads the store; a node takes messages of the
-relay. The store can be away, lose answers, answer late or answer with an older
-state; messages can be lost, doubled and late; relay and node can be replaced.
+Three operations change one service: ``a`` and ``b`` race to create it, ``t`` removes
+it again. A relay reads the store; a node applies messages of the relay. The store can
+be unavailable, lose answers, answer late or answer with an older state; messages can
+be lost, duplicated and delayed; relay and node can be replaced.
 
-`Rules` names each rule that a promise rests on. The variants in `BROKEN` each
-leave one out.
+`Rules` names each rule that a property depends on. Each variant in `BROKEN` omits one.
 """
 
 from dataclasses import dataclass
@@ -29,30 +28,31 @@
 
 @dataclass(frozen=True)
 class Rules:
-    """The rules of the protocol; all hold in the one that is built."""
+    """Rules of the protocol; the implementation follows all of them."""
 
     reads_back: bool = True
     checks_id_and_version: bool = True
-    refuses_older: bool = True
+    rejects_older: bool = True
     keeps_tombstone: bool = True
-    sends_again: bool = True
+    resends: bool = True
 
 
 BROKEN = {
     "a lost answer counts as accepted": Rules(reads_back=False),
     "a repeated operation is written again": Rules(checks_id_and_version=False),
-    "whatever comes is taken": Rules(refuses_older=False),
+    "whatever comes is taken": Rules(rejects_older=False),
     "a removed service is forgotten": Rules(keeps_tombstone=False),
-    "a change is sent once only": Rules(sends_again=False),
+    "a change is sent once only": Rules(resends=False),
 }
 
 
 class State(NamedTuple):
-    """What the store, the writers, the relay and the node hold.
+    """State of the store, the writers, the relay and the node.
 
-    ``log`` is the change log in the store. ``writers`` has each operation's
-    status and ``wire`` the writes on their way with the length of the log that
-    their CAS names. ``went_back`` notes that a running node lost a change.
+    ``log`` is the change log in the store. ``writers`` has the status of each
+    operation, ``wire`` the writes in flight with the log length that their
+    compare-and-swap expects. ``went_back`` records that a running relay or node lost
+    a change.
     """
 
     log: tuple = ()
@@ -71,14 +71,14 @@
 
 
 def set_writer(state, name, status):
-    """Return the state with another status of an operation."""
+    """Return the state with a new status of an operation."""
     writers = list(state.writers)
     writers[NAMES.index(name)] = status
     return state._replace(writers=tuple(writers))
 
 
 def list_writer_steps(state, rules):
-    """Yield what operators and their writers can do."""
+    """Yield the steps of the operators' writers."""
     for name, status in zip(NAMES, state.writers):
         if not state.up:
             if status == LOST:
@@ -89,7 +89,7 @@
 
 
 def list_write_steps(state, name, status, rules):
-    """Yield the reading and writing of one operation."""
+    """Yield the read-back and write of one operation."""
     if status == LOST and not rules.reads_back:
         yield f"{name} assumes success", set_writer(state, name, ACCEPTED)
         return
@@ -109,82 +109,82 @@
 
 
 def list_store_steps(state):
-    """Yield what can become of the writes on their way."""
+    """Yield the possible outcomes of the writes in flight."""
     for item in state.wire:
         name, base = item
-        rest = tuple(other for other in state.wire if other != item)
-        arrived = state._replace(wire=rest)
+        other_writes = tuple(other for other in state.wire if other != item)
+        arrived = state._replace(wire=other_writes)
         if state.up and len(state.log) == base:
             done = arrived._replace(log=(*state.log, name))
-            yield f"{name} takes effect", answer(done, name, ACCEPTED)
+            yield f"{name} takes effect", deliver_answer(done, name, ACCEPTED)
             if state.faults:
                 lost = done._replace(faults=state.faults - 1)
-                yield f"{name} takes effect unheard", answer(lost, name, LOST)
+                yield f"{name} takes effect unheard", deliver_answer(lost, name, LOST)
         elif state.up:
-            yield f"{name} meets another version", answer(arrived, name, LOST)
+            yield f"{name} meets another version", deliver_answer(arrived, name, LOST)
         if state.faults:
             fewer = arrived._replace(faults=state.faults - 1)
-            yield f"{name} is lost", answer(fewer, name, LOST)
+            yield f"{name} is lost", deliver_answer(fewer, name, LOST)
             if is_waiting(state, name):
                 late = state._replace(faults=state.faults - 1)
                 yield f"{name} is late", set_writer(late, name, LOST)
 
 
 def is_waiting(state, name):
-    """Tell whether a writer still waits for its answer."""
+    """Return whether a writer still waits for its answer."""
     return state.writers[NAMES.index(name)] == SENT
 
 
-def answer(state, name, status):
-    """Return the state after an answer, which only a waiting writer hears."""
+def deliver_answer(state, name, status):
+    """Return the state after an answer, which only a waiting writer receives."""
     return set_writer(state, name, status) if is_waiting(state, name) else state
 
 
-def take(held, offered, rules):
-    """Return what a relay or node holds after it was offered a state."""
-    if not rules.refuses_older:
-        return offered
-    length = len(held)
-    if not rules.keeps_tombstone and held and held[-1] == "t":
+def apply_log(known, received, rules):
+    """Return the log of a relay or node after it received another log."""
+    if not rules.rejects_older:
+        return received
+    length = len(known)
+    if not rules.keeps_tombstone and known and known[-1] == "t":
         length = 0
-    return offered if len(offered) > length else held
+    return received if len(received) > length else known
 
 
 def list_spread_steps(state, rules):
-    """Yield the steps of relay and node."""
+    """Yield the reads and messages of relay and node."""
     if state.up:
-        relay = take(state.relay, state.log, rules)
-        yield "relay reads", note(state, state._replace(relay=relay))
+        relay = apply_log(state.relay, state.log, rules)
+        yield "relay reads", record_regression(state, state._replace(relay=relay))
         if state.faults and state.log:
-            stale = take(state.relay, state.log[:-1], rules)
+            stale = apply_log(state.relay, state.log[:-1], rules)
             fewer = state._replace(relay=stale, faults=state.faults - 1)
-            yield "relay reads an older state", note(state, fewer)
-    may_send = rules.sends_again or len(state.relay) > state.sent
+            yield "relay reads an older state", record_regression(state, fewer)
+    may_send = rules.resends or len(state.relay) > state.sent
     if state.message is None and may_send:
         sent = max(state.sent, len(state.relay))
         yield "relay sends", state._replace(message=state.relay, sent=sent)
     if state.message is not None:
-        node = take(state.node, state.message, rules)
+        node = apply_log(state.node, state.message, rules)
         got = state._replace(node=node)
-        yield "message arrives", note(state, got._replace(message=None))
+        yield "message arrives", record_regression(state, got._replace(message=None))
         if state.faults:
             fewer = got._replace(faults=state.faults - 1)
-            yield "message arrives and comes again", note(state, fewer)
+            yield "message arrives and comes again", record_regression(state, fewer)
             lost = state._replace(message=None, faults=state.faults - 1)
             yield "message is lost", lost
 
 
-def note(before, after):
-    """Note that a running relay or node holds less than before."""
-    back = any(
+def record_regression(before, after):
+    """Record in the state whether a running relay or node lost a change."""
+    is_regression = any(
         new[: len(old)] != old
         for old, new in ((before.relay, after.relay), (before.node, after.node))
     )
-    return after._replace(went_back=after.went_back or back)
+    return after._replace(went_back=after.went_back or is_regression)
 
 
 def list_fault_steps(state):
-    """Yield outages and replacements."""
+    """Yield store outages and replacements of relay and node."""
     if not state.up:
         yield "store comes back", state._replace(up=True)
     if not state.faults:
@@ -197,7 +197,7 @@
 
 
 def list_steps(state, rules):
-    """Return every (label, state) that can follow."""
+    """Return the (label, next state) pairs of all enabled transitions."""
     state = State(*state)
     steps = [
         *list_writer_steps(state, rules),
@@ -208,8 +208,8 @@
     return [(label, after) for label, after in steps if after != state]
 
 
-def keeps_accepted(state):
-    """Tell whether every operation that was told accepted is in the log."""
+def contains_accepted(state):
+    """Return whether every operation reported as accepted is in the log."""
     return all(
         name in state["log"]
         for name, status in zip(NAMES, state["writers"])
@@ -218,7 +218,7 @@
 
 
 def build_protocol(rules=Rules()):
-    """Return the specification as minicheck takes it."""
+    """Return the specification as a minicheck protocol."""
     return Protocol(
         name="spreading",
         candidate=False,
@@ -226,7 +226,7 @@
         initial=State(),
         transitions=lambda state: list_steps(state, rules),
         invariants={
-            "an accepted change is never reverted": keeps_accepted,
+            "an accepted change is never reverted": contains_accepted,
             "an older version never replaces a newer one": lambda s: not s["went_back"],
             "an operation takes effect at most once": lambda s: len(set(s["log"]))
             == len(s["log"]),
--- a/model/watching.py
+++ b/model/watching.py
@@ -1,10 +1,11 @@
-"""The specification of one watch after another, where the store's answer takes time.
+"""Specification of consecutive watches with a delay inside the store's answer.
 
-An operator declares versions and others write besides. A relay reads the store once and
-watches it. The store lists the events of an answer at one moment and reads the revision
-that goes with them at a later one; what is written in between is counted and not told.
+An operator declares versions while other clients write too. A relay reads the store
+once and then watches it. The store lists the events of an answer at one moment and
+reads the revision of the answer at a later one; a write in between is included in the
+revision but not in the events.
 
-`Rules` names the rule that a promise rests on. The variant in `BROKEN` leaves it out.
+`Rules` names the rule that a property depends on. The variant in `BROKEN` omits it.
 """
 
 from dataclasses import dataclass
@@ -14,28 +15,28 @@
 
 __all__ = ["BROKEN", "Rules", "State", "build_protocol", "list_steps"]
 
-MOST_VERSIONS = 3
-MOST_REVISIONS = 6
+MAX_VERSIONS = 3
+MAX_REVISIONS = 6
 
 
 @dataclass(frozen=True)
 class Rules:
-    """The rule of watching; it holds in what is built."""
+    """Rule of watching; the implementation follows it."""
 
-    goes_on_from_events: bool = True
+    resumes_from_events: bool = True
 
 
 BROKEN = {
-    "a watch goes on from the store's revision": Rules(goes_on_from_events=False),
+    "a watch goes on from the store's revision": Rules(resumes_from_events=False),
 }
 
 
 class State(NamedTuple):
-    """What the store and the relay hold.
+    """State of the store and the relay.
 
-    ``written_at`` is the revision of the store's version. ``listed`` are the revision,
-    the version and its revision as the events of the answer under way were listed;
-    empty while the relay does not watch.
+    ``written_at`` is the revision at which the store's version was written. ``listed``
+    has the revision, the version and its ``written_at`` from the moment at which the
+    events of the pending answer were listed; empty while no answer is pending.
     """
 
     revision: int = 1
@@ -47,19 +48,19 @@
 
 
 def list_writes(state):
-    """Yield what the operator and others write."""
-    if state.revision >= MOST_REVISIONS:
+    """Yield the writes of the operator and of other clients."""
+    if state.revision >= MAX_REVISIONS:
         return
     revision = state.revision + 1
     yield "others write", state._replace(revision=revision)
-    if state.version < MOST_VERSIONS:
+    if state.version < MAX_VERSIONS:
         yield "a version is accepted", state._replace(
             revision=revision, version=state.version + 1, written_at=revision
         )
 
 
 def list_relay_steps(state, rules):
-    """Yield the relay's read, and the two moments of an answer to its watch."""
+    """Yield the relay's read and the two stages of an answer to its watch."""
     if not state.relay_revision:
         yield "relay reads", state._replace(
             relay_revision=state.revision, relay_version=state.version
@@ -68,23 +69,25 @@
         listed = (state.revision, state.version, state.written_at)
         yield "events are listed", state._replace(listed=listed)
     else:
-        yield "the answer is sent", take_answer(state, rules)
+        yield "the answer is sent", apply_answer(state, rules)
 
 
-def take_answer(state, rules):
-    """Return the state after the relay has taken the answer to its watch."""
+def apply_answer(state, rules):
+    """Return the state after the relay has applied the answer to its watch."""
     revision, version, written_at = state.listed
-    told = version if written_at > state.relay_revision else state.relay_version
-    end = revision if rules.goes_on_from_events else state.revision
+    reported_version = (
+        version if written_at > state.relay_revision else state.relay_version
+    )
+    resume_revision = revision if rules.resumes_from_events else state.revision
     return state._replace(
         listed=(),
-        relay_revision=max(state.relay_revision, end),
-        relay_version=told,
+        relay_revision=max(state.relay_revision, resume_revision),
+        relay_version=reported_version,
     )
 
 
 def list_steps(state, rules):
-    """Return every (label, state) that can follow."""
+    """Return the (label, next state) pairs of all enabled transitions."""
     state = State(*state)
     state = state._replace(listed=tuple(state.listed))
     steps = [*list_writes(state), *list_relay_steps(state, rules)]
@@ -92,18 +95,18 @@
 
 
 def misses_nothing(state):
-    """Tell whether a relay that is as far as a version was told of it."""
-    is_far = state["relay_revision"] >= state["written_at"]
-    return not is_far or state["relay_version"] == state["version"]
+    """Return whether a relay that has reached a version's revision has the version."""
+    has_reached = state["relay_revision"] >= state["written_at"]
+    return not has_reached or state["relay_version"] == state["version"]
 
 
 def is_settled(state):
-    """Tell whether the relay holds the newest version."""
+    """Return whether the relay holds the newest version."""
     return state["relay_version"] == state["version"]
 
 
 def build_protocol(rules=Rules()):
-    """Return the specification as minicheck takes it."""
+    """Return the specification as a minicheck protocol."""
     return Protocol(
         name="watching",
         candidate=False,
