--- a/matrix/__init__.py
+++ b/matrix/__init__.py
@@ -1,1 +1,1 @@
-"""The fault matrix: every fault at every step, each promise checked by records."""
+"""Fault matrix: runs every fault at every step and checks each promise."""
--- a/matrix/changefaults.py
+++ b/matrix/changefaults.py
@@ -1,4 +1,4 @@
-"""The faults of the second half: of the store, of relays and of followers."""
+"""Faults of the configuration matrix: of the store, relays and followers."""
 
 import signal
 
@@ -10,22 +10,22 @@
 
 
 class ChangeFault:
-    """A fault of the store or of a node, for some time."""
+    """Base class of temporary faults of the store or of a node."""
 
     def begin(self, stage):
-        """Let the fault begin."""
+        """Inject the fault."""
 
     def end(self, stage):
-        """Let the fault end."""
+        """Remove the fault."""
 
 
 @CHANGE_FAULTS.register("none")
 class NoFault(ChangeFault):
-    """Nothing happens."""
+    """Control case without a fault."""
 
 
 def register_store_fault(name, **settings):
-    """Enter a fault of the store."""
+    """Register a fault of the store."""
 
     class StoreFault(ChangeFault):
         def begin(self, stage):
@@ -44,20 +44,20 @@
 register_store_fault("store drops writes", drop_writes=2)
 
 
-def register_node_fault(name, relay, sign, wakes):
-    """Enter a fault of a relay or of a follower."""
+def register_node_fault(name, relay, signal_number, resumes):
+    """Register a fault of a relay or a follower."""
 
     class NodeFault(ChangeFault):
         node = None
 
         def begin(self, stage):
             self.node = stage.find_node(relay)
-            self.node.process.send_signal(sign)
-            if not wakes:
+            self.node.process.send_signal(signal_number)
+            if not resumes:
                 self.node.process.wait()
 
         def end(self, stage):
-            if wakes and self.node is not None:
+            if resumes and self.node is not None:
                 self.node.process.send_signal(signal.SIGCONT)
 
     CHANGE_FAULTS.register(name)(NodeFault)
@@ -71,13 +71,13 @@
 
 @CHANGE_FAULTS.register("relay killed and store slow")
 class RelayAndStore(ChangeFault):
-    """Two faults at once."""
+    """Killed relay and slow store at the same time."""
 
     def begin(self, stage):
-        """Let both begin."""
+        """Inject both faults."""
         stage.find_node(True).process.kill()
         stage.fleet.set_store_faults(slow_s=0.5)
 
     def end(self, stage):
-        """Let the store be well again."""
+        """Remove the fault of the store."""
         stage.fleet.set_store_faults()
--- a/matrix/changes.py
+++ b/matrix/changes.py
@@ -1,4 +1,4 @@
-"""The stage of the second half of the matrix: changes of the configuration."""
+"""Stage of the configuration matrix: changes of the configuration."""
 
 import time
 import uuid
@@ -22,27 +22,27 @@
 
 @dataclass
 class ChangeRecord:
-    """One change with what became of it.
+    """Configuration change with its outcome.
 
     Attributes
     ----------
     operation : str
-        Its id.
+        Id of the operation.
     told : list of int
-        The outcomes in the order in which the operator was told them.
+        Outcomes reported to the operator, in order.
     seconds : float or None
-        From the last answer until it was in force everywhere; None if it never
-        was.
+        Time from the last answer until the change was in force everywhere; None if
+        it never was.
     went_back : list of str
         Nodes that held an older revision after a newer one.
     appeared : bool
         Whether the change is in force in the end.
     entries : int
-        How often it stands in the change log.
+        Number of times that the change appears in the change log.
     document : bytes
-        The declaration asked for.
+        Requested declaration.
     expected : int
-        The version that the operator saw.
+        Version that the operator expected to replace.
     """
 
     operation: str
@@ -55,7 +55,7 @@
     expected: int = 0
 
     def list_faults(self):
-        """Yield what broke the promise."""
+        """Yield a description of each violation of the promise."""
         for name in self.went_back:
             yield f"{name} went back to an older revision"
         if self.entries > 1:
@@ -70,14 +70,14 @@
 
 
 class ChangeStage:
-    """Four nodes in two data centres: relays, a follower and a lone node.
+    """Four nodes in two data centres, one of which has a single node.
 
     Parameters
     ----------
     fleet : Fleet
         Starts the processes.
     mutation : str
-        A mutation of the nodes.
+        Mutation of the nodes' code.
     """
 
     def __init__(self, fleet, mutation=""):
@@ -102,7 +102,7 @@
         )
 
     def write_document(self):
-        """Return the next declaration as JSON; its timeout tells it apart."""
+        """Return the next declaration as JSON, with a unique timeout."""
         self.timeout_ms += 1
         content = {
             "service": "arena",
@@ -125,7 +125,7 @@
         return declarations[0].model_dump_json().encode()
 
     def change(self, node, record=None, document=None, expected=None):
-        """Ask a node for a change; return its record with the outcome added."""
+        """Request a change from a node and return its record with the outcome added."""
         record = record or ChangeRecord(uuid.uuid4().hex)
         record.document = document or self.write_document()
         if expected is None:
@@ -164,7 +164,7 @@
         return reply.documents[0].version
 
     def read_held(self, node):
-        """Return (revision, document) of a node, or None."""
+        """Return the revision and document that a node holds, or None."""
         reply = Client(node.control).call("Get", pb.GetRequest(), 2.0)
         if isinstance(reply, CallFailed):
             return None
@@ -172,7 +172,7 @@
         return reply.revision, document
 
     def watch(self, record):
-        """Watch until a change is in force everywhere, or for the time allowed."""
+        """Wait until a change is in force everywhere or the time limit has passed."""
         self.evidence.changes.append(record)
         if record.told[-1] != pb.ACCEPTED:
             time.sleep(0.5)
@@ -191,7 +191,7 @@
         record.entries = self.count_entries(record.operation)
 
     def is_everywhere(self, record, highest):
-        """Tell whether all running nodes hold a change; note any that went back."""
+        """Return whether all running nodes hold a change; record reverted nodes."""
         all_hold = True
         for node in self.list_running():
             held = self.read_held(node)
@@ -205,14 +205,14 @@
         return all_hold
 
     def count_entries(self, operation):
-        """Return how often an operation stands in the tail of the change log."""
+        """Return the number of times that the change log's tail has an operation."""
         store = ConsulStore(self.fleet.store)
         answer = store.get("hingesill/log/tail")
         data = getattr(answer, "data", b"")
         return data.count(operation.encode())
 
     def find_node(self, relay):
-        """Return a running node of the first data centre that is a relay, or not."""
+        """Return a running node of the first data centre with the given relay role."""
         for node in self.list_running():
             if node.data_centre != CENTRES[0]:
                 continue
@@ -222,7 +222,7 @@
         return self.list_running()[0]
 
     def run(self, fault, step):
-        """Run one scenario; return its Evidence."""
+        """Run one scenario and return its evidence."""
         self.evidence = Evidence()
         try:
             step(self, fault)
@@ -232,7 +232,7 @@
         return self.evidence
 
     def restore(self):
-        """Bring the stage back to four running nodes that agree."""
+        """Restore four running nodes that hold the same configuration."""
         self.fleet.set_store_faults()
         for index, node in enumerate(self.nodes):
             if node.process.poll() is not None:
@@ -240,9 +240,9 @@
                 self.nodes[index] = self.start_node(node.data_centre)
         for node in self.nodes:
             self.fleet.wait_ready(node)
-        wait_until(self.do_agree, 15.0, "agreement of the nodes")
+        wait_until(self.have_converged, 15.0, "agreement of the nodes")
 
-    def do_agree(self):
-        """Tell whether all nodes hold the same."""
+    def have_converged(self):
+        """Return whether all nodes hold the same revision and document."""
         held = [self.read_held(node) for node in self.nodes]
         return None not in held and len(set(held)) == 1
--- a/matrix/changesteps.py
+++ b/matrix/changesteps.py
@@ -1,4 +1,4 @@
-"""The steps of the second half: accept, race, spread, restart and drain."""
+"""Steps of the configuration matrix: accept, race, spread, restart and drain."""
 
 import time
 
@@ -19,7 +19,7 @@
 
 @CHANGE_STEPS.register("accept")
 def accept_during(stage, fault):
-    """The fault is there while a change is accepted."""
+    """Request a change while the fault is active."""
     fault.begin(stage)
     running = [n for n in stage.list_running() if is_awake(n)]
     record = stage.change(running[-1])
@@ -30,7 +30,7 @@
 
 @CHANGE_STEPS.register("race")
 def race_during(stage, fault):
-    """Two operators change the same version while the fault is there."""
+    """Request two changes of the same version while the fault is active."""
     fault.begin(stage)
     running = [n for n in stage.list_running() if is_awake(n)]
     version = stage.read_version(running[0])
@@ -45,12 +45,12 @@
         stage.watch(record)
     if len(accepted) > 1:
         accepted[1].told.append(pb.ACCEPTED)
-        stage.evidence.changes.append(accepted[1])  # Both accepted: a broken promise.
+        stage.evidence.changes.append(accepted[1])  # Both accepted: a violation.
 
 
 @CHANGE_STEPS.register("spread")
 def spread_during(stage, fault):
-    """The fault begins right after a change was accepted."""
+    """Inject the fault right after a change was accepted."""
     running = stage.list_running()
     record = stage.change(running[-1])
     fault.begin(stage)
@@ -61,7 +61,7 @@
 
 @CHANGE_STEPS.register("restart")
 def restart_during(stage, fault):
-    """A node is replaced while the fault is there."""
+    """Replace a node while the fault is active."""
     record = stage.change(stage.nodes[0])
     stage.watch(record)
     fault.begin(stage)
@@ -84,21 +84,21 @@
 
 @CHANGE_STEPS.register("drain")
 def drain_during(stage, fault):
-    """An operator drains an endpoint while the fault is there."""
+    """Drain an endpoint while the fault is active."""
     fault.begin(stage)
     running = [n for n in stage.list_running() if is_awake(n)]
     endpoint = stage.endpoints[0]
     request = pb.DrainRequest(service="arena", endpoint=endpoint)
     Client(running[-1].control).call("Drain", request, 4.0)
-    told = wait_told(stage, endpoint)
+    is_drained = wait_for_drain(stage, endpoint)
     fault.end(stage)
-    stage.evidence.drain = DrainRecord(endpoint, 0, 0 if told else 1)
+    stage.evidence.drain = DrainRecord(endpoint, 0, 0 if is_drained else 1)
     request.cancel = True
     Client(running[-1].control).call("Drain", request, 4.0)
 
 
-def wait_told(stage, endpoint):
-    """Tell whether all awake nodes know within a few seconds that it leaves."""
+def wait_for_drain(stage, endpoint):
+    """Return whether all awake nodes learn of the drain within four seconds."""
     deadline = time.monotonic() + 4.0
     while time.monotonic() < deadline:
         nodes = [node for node in stage.list_running() if is_awake(node)]
@@ -109,7 +109,7 @@
 
 
 def knows_drain(node, endpoint):
-    """Tell whether a node gives an endpoint no new work."""
+    """Return whether a node sends no new requests to an endpoint."""
     request = pb.ExplainRequest(method="GET", path="/arena")
     reply = Client(node.control).call("Explain", request, 2.0)
     if isinstance(reply, CallFailed):
@@ -118,7 +118,7 @@
 
 
 def is_awake(node):
-    """Tell whether a node's process is neither ended nor frozen."""
+    """Return whether a node's process is neither terminated nor suspended."""
     if node.process.poll() is not None:
         return False
     return psutil.Process(node.process.pid).status() != psutil.STATUS_STOPPED
--- a/matrix/evidence.py
+++ b/matrix/evidence.py
@@ -1,4 +1,4 @@
-"""What a scenario leaves behind for the checkers of the promises."""
+"""Records of a scenario that the checkers of the promises evaluate."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """A promise that was broken.
+    """Violation of a promise.
 
     Parameters
     ----------
     place : str
-        The request, endpoint or node.
+        Request, endpoint or node that shows the violation.
     what : str
-        What was seen there.
+        Description of the violation.
     """
 
     place: str
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True)
 class NotApplicable:
-    """A promise that a scenario says nothing about.
+    """Result for a promise that a scenario does not exercise.
 
     Parameters
     ----------
     why : str
-        The reason, which is printed.
+        Reason, as printed.
     """
 
     why: str
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True)
 class DrainRecord:
-    """An endpoint that was told to leave.
+    """Requests run by an endpoint that was drained.
 
     Parameters
     ----------
     endpoint : str
-        Its address.
+        Address of the endpoint.
     ran_before, ran_after : int
-        What it had run when the few seconds were over, and at the end.
+        Number of requests run at the end of the drain delay and some time later.
     """
 
     endpoint: str
@@ -59,23 +59,23 @@
     Attributes
     ----------
     calls : list of Call
-        What callers were told.
+        Calls with the outcome that the caller received.
     ran : Counter
-        How often each request id ran, by the endpoints' own record.
+        Number of executions per request id, as recorded by the endpoints.
     excused : set of str
-        Request ids of callers that left on purpose.
+        Request ids of callers that deliberately closed their connection.
     probe_times : list of float
-        When endpoints were probed, in seconds of one clock.
+        Times of probes, in seconds of one clock shared by all endpoints.
     probe_budget, probe_window : float
-        Probes allowed in a window, and its seconds.
+        Maximum number of probes in a window, and its length in seconds.
     drain : DrainRecord or None
-        Set if an endpoint was told to leave.
+        Set if an endpoint was drained.
     stopped : int or None
-        Exit code of a node that was stopped in a planned way.
+        Exit code of a node that was shut down gracefully.
     cuts_expected : bool
-        The fault itself ends connections of callers.
+        Whether the fault itself closes connections of callers.
     changes : list of ChangeRecord
-        Changes of the configuration, with what became of them.
+        Configuration changes with their outcomes.
     """
 
     calls: list = field(default_factory=list)
--- a/matrix/faults.py
+++ b/matrix/faults.py
@@ -1,4 +1,4 @@
-"""The faults: each begins and ends on a stage."""
+"""Faults of the request matrix, injected into a stage and removed again."""
 
 import signal
 import socket
@@ -14,28 +14,28 @@
 
 
 class Fault:
-    """A fault that does nothing; the others override its two methods.
+    """Base class of faults, without any effect.
 
     Attributes
     ----------
     cuts : bool
-        It ends connections of callers by itself.
+        Whether the fault closes connections of callers.
     passes : bool
-        It can end, so that there is a time after it.
+        Whether the fault can be removed during a scenario.
     """
 
     cuts = False
     passes = True
 
     def begin(self, stage):
-        """Let the fault begin."""
+        """Inject the fault."""
 
     def end(self, stage):
-        """Let the fault end."""
+        """Remove the fault."""
 
 
 class EndpointFault(Fault):
-    """Faults of endpoints, as the stand-in knows them."""
+    """Fault settings of the stand-in endpoints."""
 
     settings = {}
     everywhere = False
@@ -46,12 +46,12 @@
         put(**self.settings)
 
     def end(self, stage):
-        """Take the fault back."""
+        """Reset the fault settings."""
         stage.set_all()
 
 
 def register_endpoint_fault(name, everywhere=False, cuts=False, **settings):
-    """Enter a fault of endpoints."""
+    """Register a fault of endpoints."""
     members = {"settings": settings, "everywhere": everywhere, "cuts": cuts}
     FAULTS.register(name)(type("EndpointFaultOf", (EndpointFault,), members))
 
@@ -82,7 +82,7 @@
 
 @FAULTS.register("none")
 class NoFault(Fault):
-    """Nothing happens."""
+    """Control case without a fault."""
 
 
 @FAULTS.register("caller gone")
@@ -96,7 +96,7 @@
     body = b"e2e4"
 
     def begin(self, stage):
-        """Send requests and leave at once."""
+        """Send requests and close each connection at once."""
         for address in list(stage.usable):
             for number in range(5):
                 name = f"gone-{time.monotonic_ns()}-{number}"
@@ -106,7 +106,7 @@
 
 @FAULTS.register("caller half-sent")
 class CallerHalfSent(CallerGone):
-    """Callers that leave in the middle of their body."""
+    """Callers that close their connection in the middle of the request body."""
 
     body = b"e2"
 
@@ -124,13 +124,13 @@
 
 @FAULTS.register("node killed")
 class NodeKilled(Fault):
-    """The second node ends without any notice."""
+    """Kill of the second node without a shutdown."""
 
     cuts = True
     passes = False
 
     def begin(self, stage):
-        """End the process; the platform's balancer notices a little later."""
+        """Kill the process; the platform's balancer detects it slightly later."""
         stage.second.process.kill()
         stage.second.process.wait()
         time.sleep(0.1)
@@ -140,10 +140,10 @@
 
 @FAULTS.register("node frozen and woken")
 class NodeFrozen(Fault):
-    """The second node does nothing for a while and then goes on."""
+    """Suspension of the second node's process for a short time."""
 
     def begin(self, stage):
-        """Freeze the process for a while."""
+        """Suspend the process and resume it."""
         if stage.second.process.poll() is not None:
             return
         stage.second.process.send_signal(signal.SIGSTOP)
@@ -156,21 +156,21 @@
 
 
 class StoreFault(Fault):
-    """Faults of the store, as the stand-in knows them."""
+    """Fault settings of the stand-in store."""
 
     settings = {}
 
     def begin(self, stage):
-        """Set the fault."""
+        """Apply the fault settings."""
         stage.fleet.set_store_faults(**self.settings)
 
     def end(self, stage):
-        """Take the fault back."""
+        """Reset the fault settings."""
         stage.fleet.set_store_faults()
 
 
 def register_store_fault(name, **settings):
-    """Enter a fault of the store."""
+    """Register a fault of the store."""
     FAULTS.register(name)(type("StoreFaultOf", (StoreFault,), {"settings": settings}))
 
 
@@ -181,7 +181,7 @@
 
 
 class Pair(Fault):
-    """Two faults at once."""
+    """Two simultaneous faults."""
 
     names = ()
 
@@ -191,18 +191,18 @@
         self.passes = all(fault.passes for fault in self.faults)
 
     def begin(self, stage):
-        """Let both begin."""
+        """Inject both faults."""
         for fault in self.faults:
             fault.begin(stage)
 
     def end(self, stage):
-        """Let both end."""
+        """Remove both faults."""
         for fault in self.faults:
             fault.end(stage)
 
 
 def register_pair(*names):
-    """Enter two faults at once."""
+    """Register a pair of simultaneous faults."""
     FAULTS.register(" and ".join(names))(type("PairOf", (Pair,), {"names": names}))
 
 
--- a/matrix/main.py
+++ b/matrix/main.py
@@ -1,4 +1,4 @@
-"""Runs the matrix: ``make matrix``; the last line is JSON."""
+"""Run the fault matrix: ``make matrix``; the last line of the output is JSON."""
 
 import json
 import sys
@@ -19,34 +19,34 @@
 
 __all__ = ["Tally", "main"]
 
-MOST_SHOWN = 3
+MAX_VIOLATIONS_SHOWN = 3
 
 
 @dataclass
 class Tally:
-    """Cells by what became of them."""
+    """Cells of the matrix by result."""
 
     held: int = 0
     failed: list = field(default_factory=list)
     not_applicable: dict = field(default_factory=dict)
 
     def add(self, fault, step, results):
-        """Count one scenario's cells and print them."""
-        marks = []
+        """Count the cells of one scenario and print its failures."""
+        failures = []
         for promise, result in results.items():
             cell = f"{fault} / {step} / {promise}"
             if isinstance(result, NotApplicable):
                 self.not_applicable[cell] = result.why
             elif result:
                 self.failed.append(cell)
-                marks.append(f"FAILED {promise}")
-                for violation in result[:MOST_SHOWN]:
-                    marks.append(f"  {violation.place}: {violation.what}")
+                failures.append(f"FAILED {promise}")
+                for violation in result[:MAX_VIOLATIONS_SHOWN]:
+                    failures.append(f"  {violation.place}: {violation.what}")
             else:
                 self.held += 1
-        print(f"{fault} / {step}: {'held' if not marks else ''}", flush=True)
-        for mark in marks:
-            print(f"    {mark}", flush=True)
+        print(f"{fault} / {step}: {'held' if not failures else ''}", flush=True)
+        for failure in failures:
+            print(f"    {failure}", flush=True)
 
 
 def run_half(stage_class, faults, steps, tally, only):
@@ -63,7 +63,7 @@
 
 
 def main():
-    """Run the matrix; an argument limits it to faults that contain it."""
+    """Run the matrix; an argument selects the faults whose name contains it."""
     only = sys.argv[1] if len(sys.argv) > 1 else ""
     started = time.monotonic()
     tally = Tally()
--- a/matrix/mutant.py
+++ b/matrix/mutant.py
@@ -1,7 +1,7 @@
-"""Nodes with one rule left out, to prove that each checker can fail.
+"""Nodes with one rule disabled, to verify that each checker can fail.
 
-``python -m matrix.mutant NAME --flags`` runs a node whose code was changed by
-the mutation of that name. Used by tests only.
+``python -m matrix.mutant NAME --flags`` runs a node whose code is patched by the
+mutation of that name. Used by tests only.
 """
 
 import json
@@ -27,12 +27,12 @@
 __all__ = ["MUTATIONS"]
 
 MUTATIONS = Registry("mutation")
-PROBE_SECONDS = 0.02
+PROBE_INTERVAL_SECONDS = 0.02
 
 
 @MUTATIONS.register("repeats moves")
 def repeat_moves():
-    """Send a request again whether it may be repeated or not."""
+    """Retry a request whether or not it may be repeated."""
     decision.find_denial = lambda ticket, end, now, p10: (
         None if ticket.sends < 3 else decision.RetryReason.DENIED_BUDGET
     )
@@ -40,13 +40,13 @@
 
 @MUTATIONS.register("lies about not run")
 def lie_not_run():
-    """Never note that an endpoint may have run a request."""
+    """Never record that an endpoint may have run a request."""
     dispatcher.mark_may_have_run = lambda ticket, end: None
 
 
 @MUTATIONS.register("mixes answers")
 def mix_answers():
-    """Give a caller now and then the answer to the request before."""
+    """Give a caller the answer to an earlier request."""
     run = Exchange.run
     last = []
 
@@ -62,7 +62,7 @@
 
 @MUTATIONS.register("claims answers")
 def claim_answers():
-    """Answer a request that was refused as if an endpoint had run it."""
+    """Answer a refused request as if an endpoint had run it."""
     run = Exchange.run
 
     def run_claiming(self):
@@ -91,13 +91,13 @@
 
 @MUTATIONS.register("stops at once")
 def stop_at_once():
-    """End on a planned stop without waiting for anything."""
+    """Stop at once on a graceful shutdown, without waiting for requests."""
     Lifecycle.stop = lambda self, listener: True
 
 
 @MUTATIONS.register("probes without pace")
 def probe_without_pace():
-    """Probe all the time, without a share and without spacing."""
+    """Probe continuously, without a lease on a probe share and without a rate limit."""
     proberate.ProbeRateLimiter.try_acquire = lambda self, share, a_pace, now: True
     prober.choose_probe_target = lambda a_dispatcher, now: next(
         iter(a_dispatcher.states)
@@ -106,7 +106,7 @@
     def run_freely(self):
         self.blackboard.probe_share = ProbeShare(0, "none", float("inf"), 0.0)
         while True:
-            eventlet.sleep(PROBE_SECONDS)
+            eventlet.sleep(PROBE_INTERVAL_SECONDS)
             self._probe_services()
 
     prober.Prober._is_due = lambda self, name, a_pace: bool(
@@ -117,7 +117,7 @@
 
 @MUTATIONS.register("holds refusals back")
 def hold_refusals_back():
-    """Answer a refusal only when the request's time is up."""
+    """Delay a refusal until after the request's deadline."""
     run = Exchange.run
 
     def run_late(self):
@@ -131,7 +131,7 @@
 
 @MUTATIONS.register("accepts without writing")
 def accept_without_writing():
-    """Tell operators that a change is accepted, and write nothing."""
+    """Report a change as accepted without writing it to the store."""
     ChangeLog.append = lambda self, replica, request, is_in_time: Accepted(
         replica.revision + 1
     )
--- a/matrix/promises.py
+++ b/matrix/promises.py
@@ -1,4 +1,4 @@
-"""The promises: each checker reads records and returns violations."""
+"""Checkers of the promises; each returns the violations found in the evidence."""
 
 from hingesill_core.registry import Registry
 from matrix.evidence import NotApplicable, Violation
@@ -6,13 +6,13 @@
 __all__ = ["PROMISES", "check_promises"]
 
 PROMISES = Registry("promise")
-AT_ONCE_SPARE_SECONDS = 0.35
+TIME_LIMIT_TOLERANCE_SECONDS = 0.35
 NO_CALLS = NotApplicable("no requests are sent in this step")
 
 
 @PROMISES.register("whole own answer")
 def check_own_answer(evidence):
-    """Check that each answer was whole and the caller's own."""
+    """Check that each answer was complete and belonged to the caller's request."""
     if not evidence.calls:
         return NO_CALLS
     return [
@@ -24,7 +24,7 @@
 
 @PROMISES.register("not run did not run")
 def check_not_run(evidence):
-    """Check that what was refused as not run did not run."""
+    """Check that no request refused as not run was executed."""
     if not evidence.calls:
         return NO_CALLS
     return [
@@ -36,7 +36,7 @@
 
 @PROMISES.register("not repeatable at most once")
 def check_at_most_once(evidence):
-    """Check that nothing that must not be repeated ran twice."""
+    """Check that no request that must not be repeated ran more than once."""
     if not evidence.calls:
         return NO_CALLS
     return [
@@ -48,7 +48,7 @@
 
 @PROMISES.register("answered ran")
 def check_answered(evidence):
-    """Check that an answered move did run, so that none is lost."""
+    """Check that every successfully answered request was executed by an endpoint."""
     if not evidence.calls:
         return NO_CALLS
     return [
@@ -62,14 +62,14 @@
 
 @PROMISES.register("final answer at once")
 def check_at_once(evidence):
-    """Check that refusals came in time and say when to come back."""
+    """Check that answers met their time limit and refusals have a Retry-After."""
     if not evidence.calls:
         return NO_CALLS
     violations = []
     for call in evidence.calls:
         if call.outcome == "cut" or call.request_id in evidence.excused:
             continue
-        if call.seconds > call.limit + AT_ONCE_SPARE_SECONDS:
+        if call.seconds > call.limit + TIME_LIMIT_TOLERANCE_SECONDS:
             what = f"{call.seconds:.2f} s, its time was {call.limit:.2f} s"
             violations.append(Violation(call.request_id, what))
         early = call.reason in ("queue-full", "displaced", "no-endpoint")
@@ -82,7 +82,7 @@
 
 @PROMISES.register("leaving endpoint")
 def check_drain(evidence):
-    """Check that a leaving endpoint gets nothing after a few seconds."""
+    """Check that a draining endpoint runs no request after the drain delay."""
     drain = evidence.drain
     if drain is None:
         return NotApplicable("no endpoint leaves in this step")
@@ -94,7 +94,7 @@
 
 @PROMISES.register("planned stop")
 def check_stop(evidence):
-    """Check that a planned stop cut nothing off."""
+    """Check that a graceful shutdown of a node cut off no request."""
     if evidence.stopped is None:
         return NotApplicable("no node is stopped in this step")
     violations = []
@@ -111,7 +111,7 @@
 
 @PROMISES.register("probe budget")
 def check_probe_budget(evidence):
-    """Check that no window has more probes than allowed."""
+    """Check that no time window has more probes than the budget allows."""
     if not evidence.calls:
         return NO_CALLS
     times = sorted(evidence.probe_times)
@@ -126,7 +126,7 @@
 
 @PROMISES.register("configuration in force")
 def check_changes(evidence):
-    """Check that accepted changes are in force everywhere and stay so."""
+    """Check that changes are in force everywhere if and only if they were accepted."""
     if not evidence.changes:
         return NotApplicable("no configuration is changed in this step")
     return [
@@ -137,5 +137,5 @@
 
 
 def check_promises(evidence):
-    """Return what each promise's checker finds, by name."""
+    """Return the result of each promise's checker by the name of the promise."""
     return {name: PROMISES.get(name)(evidence) for name in PROMISES.list_names()}
--- a/matrix/stage.py
+++ b/matrix/stage.py
@@ -1,4 +1,4 @@
-"""The stage of the request matrix: two nodes before three endpoints, under load."""
+"""Stage of the request matrix: two nodes with three endpoints under load."""
 
 import threading
 import time
@@ -18,22 +18,22 @@
 LIMIT_SECONDS = 0.6
 CALLERS = 5
 REQUESTS = [("GET", "/arena/boards/7", True), ("POST", "/arena/games", False)]
-WARM_SECONDS = 0.25
-FEW_SECONDS = 1.5
+WARM_UP_SECONDS = 0.25
+DRAIN_DELAY_SECONDS = 1.5
 PROBES = {"per_second": 2.0, "window_s": 10.0, "capacity_share": 0.5}
 PROBES_ALLOWED = 20
 STOP_SECONDS = 20.0
 
 
 class Stage:
-    """Nodes, endpoints and callers of one scenario after another.
+    """Nodes, endpoints and callers, reused by consecutive scenarios.
 
     Parameters
     ----------
     fleet : Fleet
         Starts the processes.
     mutation : str
-        A mutation of the nodes, for proving that a checker can fail.
+        Mutation of the nodes' code that shows that a checker can fail.
     """
 
     def __init__(self, fleet, mutation=""):
@@ -57,7 +57,7 @@
         )
 
     def apply(self):
-        """Put the stage's declaration in force."""
+        """Apply the stage's declaration and wait until it is in force."""
         routes = [
             {"method": "GET", "path": "/arena/boards", "repeat": "repeatable"},
             {"method": "POST", "path": "/arena/games"},
@@ -81,7 +81,7 @@
             raise RuntimeError(waited.stdout + waited.stderr)
 
     def run(self, fault, step):
-        """Run one scenario; return its Evidence."""
+        """Run one scenario and return its evidence."""
         self.evidence = Evidence(
             probe_budget=PROBES_ALLOWED,
             probe_window=PROBES["window_s"],
@@ -103,14 +103,14 @@
         return self.evidence
 
     def read_runs(self):
-        """Return how often each request id ran so far."""
+        """Return the number of executions so far per request id."""
         ran = Counter()
         for endpoint in self.endpoints:
             ran.update(self.fleet.read_record(endpoint)["ran"])
         return ran
 
     def collect(self, callers, before):
-        """Wait until the endpoints are idle and gather the records."""
+        """Wait until the endpoints are idle and collect the records."""
 
         def is_idle():
             return not any(self.fleet.read_record(e)["running"] for e in self.endpoints)
@@ -123,7 +123,7 @@
             self.evidence.probe_times += times
 
     def restore(self):
-        """Bring the stage back to two running nodes and sound endpoints."""
+        """Restore two running nodes and endpoints without faults."""
         for endpoint in self.endpoints:
             self.fleet.set_faults(endpoint, service_ms=SERVICE_MS)
         self.fleet.set_store_faults()
@@ -147,24 +147,28 @@
         self.fleet.set_faults(self.endpoints[0], **faults)
 
     def stop_node(self):
-        """Stop the second node in a planned way, if it still runs."""
+        """Shut the second node down gracefully if it is running."""
         if self.second.process.poll() is not None:
             return
         self.second.process.terminate()
-        wait_until(lambda: not self.second.is_ready(), 5.0, "the node's sign")
+        wait_until(
+            lambda: not self.second.is_ready(),
+            5.0,
+            "the node's not-ready status",
+        )
         if self.second.address in self.usable:
             self.usable.remove(self.second.address)
         self.evidence.stopped = self.second.process.wait(STOP_SECONDS)
 
     def drain_endpoint(self):
-        """Tell the last endpoint to leave, by the operators' call."""
+        """Drain the last endpoint through the operators' API."""
         endpoint = self.endpoints[-1]
         request = pb.DrainRequest(service="arena", endpoint=endpoint)
         for node in (self.first, self.second):
             reply = Client(node.control).call("Drain", request, 3.0)
             if not isinstance(reply, CallFailed):
                 break
-        time.sleep(FEW_SECONDS)
+        time.sleep(DRAIN_DELAY_SECONDS)
         before = sum(self.fleet.read_record(endpoint)["ran"].values())
         time.sleep(0.6)
         after = sum(self.fleet.read_record(endpoint)["ran"].values())
--- a/matrix/steps.py
+++ b/matrix/steps.py
@@ -1,9 +1,9 @@
-"""The steps at which a fault begins; each is a function of stage and fault."""
+"""Steps at which a fault begins, as functions of stage, fault and callers."""
 
 import time
 
 from hingesill_core.registry import Registry
-from matrix.stage import WARM_SECONDS
+from matrix.stage import WARM_UP_SECONDS
 
 __all__ = ["STEPS"]
 
@@ -12,14 +12,14 @@
 
 
 def start(callers):
-    """Let all callers begin."""
+    """Start all callers."""
     for caller in callers:
         caller.start()
 
 
 @STEPS.register("before arrival")
 def begin_before(stage, fault, callers):
-    """The fault is there when requests arrive."""
+    """Inject the fault before requests arrive."""
     fault.begin(stage)
     start(callers)
     time.sleep(LOAD_SECONDS)
@@ -27,18 +27,18 @@
 
 @STEPS.register("while in flight")
 def begin_in_flight(stage, fault, callers):
-    """The fault begins while requests are routed, held, sent and answered."""
+    """Inject the fault while requests are routed, queued, sent and answered."""
     start(callers)
-    time.sleep(WARM_SECONDS)
+    time.sleep(WARM_UP_SECONDS)
     fault.begin(stage)
     time.sleep(LOAD_SECONDS)
 
 
 @STEPS.register("after it has passed")
 def begin_and_end(stage, fault, callers):
-    """The fault begins and ends while requests go on."""
+    """Inject and remove the fault while requests continue."""
     start(callers)
-    time.sleep(WARM_SECONDS)
+    time.sleep(WARM_UP_SECONDS)
     fault.begin(stage)
     time.sleep(LOAD_SECONDS / 2)
     fault.end(stage)
@@ -47,18 +47,18 @@
 
 @STEPS.register("during a planned stop")
 def begin_during_stop(stage, fault, callers):
-    """A node is stopped in a planned way while the fault is there."""
+    """Shut a node down gracefully while the fault is active."""
     start(callers)
-    time.sleep(WARM_SECONDS)
+    time.sleep(WARM_UP_SECONDS)
     fault.begin(stage)
     stage.stop_node()
-    time.sleep(WARM_SECONDS)
+    time.sleep(WARM_UP_SECONDS)
 
 
 @STEPS.register("during a drain")
 def begin_during_drain(stage, fault, callers):
-    """An endpoint is told to leave while the fault is there."""
+    """Drain an endpoint while the fault is active."""
     start(callers)
-    time.sleep(WARM_SECONDS)
+    time.sleep(WARM_UP_SECONDS)
     fault.begin(stage)
     stage.drain_endpoint()
