--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benches on real processes over loopback; each ends with a line of JSON."""
+"""Benchmarks on real processes over loopback; each ends with a line of JSON."""
--- a/bench/added_latency.py
+++ b/bench/added_latency.py
@@ -1,6 +1,6 @@
-"""What a node adds to a call: the same requests direct and through a node.
+"""Latency that a node adds: the same requests sent directly and through a node.
 
-Direct and indirect runs alternate, so that both see the same machine.
+Direct and indirect runs alternate so that both run under the same machine load.
 """
 
 import json
@@ -22,12 +22,12 @@
 ROUND_SECONDS = 1.5
 SERVICES = 1
 REQUESTS = [("GET", "/boards/7", 8), ("POST", "/moves", 2)]
-SATURATE_SECONDS = 3.0
-SATURATE_CALLERS = 12
+SATURATION_SECONDS = 3.0
+SATURATION_CALLERS = 12
 
 
 def write_declaration(fleet):
-    """Write a service with all endpoints; return the file."""
+    """Write the declaration of a service with all endpoints; return the file."""
     lines = ["service: arena", "endpoints:"]
     lines += [f"- {{address: '{e}', data_centre: lsn-a}}" for e in fleet.endpoints]
     lines += ["routes:", "- {method: GET, path: /boards, repeat: repeatable}"]
@@ -38,7 +38,7 @@
 
 
 def measure_pair(fleet, nodes, rate, rng):
-    """Return direct and indirect times in ms, taken in turn."""
+    """Return direct and indirect latencies in ms, measured alternately."""
     times = {"direct": [], "indirect": []}
     targets = {"direct": fleet.endpoints, "indirect": [n.address for n in nodes]}
     senders = {kind: Sender() for kind in targets}
@@ -54,15 +54,15 @@
 
 
 def measure_saturation(node):
-    """Return the calls a second for each core that the node's process uses."""
+    """Return a node's calls per CPU second and calls per second in a closed loop."""
     import eventlet
 
     process = psutil.Process(node.process.pid)
     sender = Sender()
     done = [0]
-    end = time.monotonic() + SATURATE_SECONDS
+    end = time.monotonic() + SATURATION_SECONDS
 
-    def call_again():
+    def call_repeatedly():
         from bench.openloop import Arrival
 
         arrival = Arrival(0.0, node.address, "GET", "/boards/7")
@@ -72,16 +72,16 @@
             done[0] += 1
 
     before = process.cpu_times()
-    threads = [eventlet.spawn(call_again) for _ in range(SATURATE_CALLERS)]
+    threads = [eventlet.spawn(call_repeatedly) for _ in range(SATURATION_CALLERS)]
     for thread in threads:
         thread.wait()
     after = process.cpu_times()
-    used = after.user + after.system - before.user - before.system
-    return done[0] / used, done[0] / SATURATE_SECONDS
+    cpu_seconds = after.user + after.system - before.user - before.system
+    return done[0] / cpu_seconds, done[0] / SATURATION_SECONDS
 
 
 def summarise(times):
-    """Return medians and 99ths of a pair."""
+    """Return the median and 99th percentile of direct and added latency."""
     direct, indirect = times["direct"], times["indirect"]
     result = {}
     for share in (0.5, 0.99):
@@ -93,7 +93,7 @@
 
 
 def run():
-    """Run the bench and print its JSON."""
+    """Run the benchmark and print the summary as JSON."""
     rng = random.Random(1)
     rows = []
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -1,8 +1,8 @@
-"""What control costs a node: memory, processor time and bytes, as slopes.
+"""Control plane cost of a node: memory, CPU time and bytes, extrapolated linearly.
 
-The state of the letter's size, 30,000 endpoints in 1,400 services, is put on
-real processes in steps; changes are made much faster than 60,000 a day and the
-cost of one is multiplied out.
+The target size, 30,000 endpoints in 1,400 services, is declared on real processes in
+steps. Changes are made much faster than the target of 60,000 per day, and the cost per
+change is scaled to the target rate.
 """
 
 import json
@@ -24,7 +24,7 @@
 ENDPOINTS = 30_000
 STEPS = (0, 350, 700, 1400)
 BATCH = 175
-CHANGES_A_DAY = 60_000
+CHANGES_PER_DAY = 60_000
 DAY_SECONDS = 86_400
 CHANGE_RATE = 10.0
 CHANGE_SECONDS = 10.0
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Cost:
-    """What a process used over some time."""
+    """Cumulative resource use of a process."""
 
     cpu_seconds: float
     peer_bytes: int
@@ -43,14 +43,14 @@
 
 
 class Meter:
-    """Reads the cost of one node's process."""
+    """Meter of the resource use of one node's process."""
 
     def __init__(self, node):
         self.node = node
         self.process = psutil.Process(node.process.pid)
 
     def read(self):
-        """Return the Cost so far."""
+        """Return the cumulative cost so far."""
         times = self.process.cpu_times()
         reply = Client(self.node.control).call("Status", pb.StatusRequest(), 5.0)
         counters = reply.self.counters
@@ -63,7 +63,7 @@
 
 
 def subtract(after, before, seconds):
-    """Return the rates between two Costs: percent of a core, bytes/s, calls/s."""
+    """Return the rates between two costs: percent of a core, bytes/s, calls/s."""
     return {
         "cpu_percent": round(
             100 * (after.cpu_seconds - before.cpu_seconds) / seconds, 2
@@ -76,7 +76,7 @@
 
 
 def measure_rates(meters, seconds, work):
-    """Return the rates of all meters while some work is done."""
+    """Return the rates of all meters while the work runs."""
     before = {name: meter.read() for name, meter in meters.items()}
     started = time.monotonic()
     work(seconds)
@@ -85,8 +85,8 @@
     return {name: subtract(after[name], before[name], elapsed) for name in meters}
 
 
-def fill(node, versions, start, end):
-    """Declare services from one number to another."""
+def declare_services(node, versions, start, end):
+    """Declare the services with numbers from start to end."""
     for first in range(start, end, BATCH):
         numbers = range(first, min(end, first + BATCH))
         documents = [
@@ -95,8 +95,8 @@
         change_services(node, documents, versions)
 
 
-def use_all(node):
-    """Have a node make the state that requests need, for every service."""
+def use_all_services(node):
+    """Make a node create its routing state for every service."""
     client = Client(node.control)
     for number in range(SERVICES):
         path = f"/service-{number}/reads"
@@ -104,7 +104,7 @@
 
 
 def name_meters(accepting, others, beside):
-    """Return the meters of all nodes, named by what each does."""
+    """Return the meters of all nodes, named by role."""
     meters = {"accepting": Meter(accepting), "beside": Meter(beside)}
     for node in others:
         reply = Client(node.control).call("Status", pb.StatusRequest(), 5.0)
@@ -114,7 +114,7 @@
 
 
 def make_changes(node, versions):
-    """Return a function that makes changes at the bench's rate."""
+    """Return a function that makes changes at the benchmark's rate."""
 
     def work(seconds):
         end = time.monotonic() + seconds
@@ -129,9 +129,9 @@
     return work
 
 
-def multiply_out(idle, busy, rate):
-    """Return the cost at the letter's rate: idle, and the slope times the rate."""
-    daily = CHANGES_A_DAY / DAY_SECONDS
+def extrapolate(idle, busy, rate):
+    """Return the cost at the target rate: idle cost plus cost per change times rate."""
+    daily = CHANGES_PER_DAY / DAY_SECONDS
     result = {}
     for key in ("cpu_percent", "bytes_per_s"):
         slope = (busy[key] - idle[key]) / rate
@@ -141,7 +141,7 @@
 
 
 def run():
-    """Run the bench and print its JSON."""
+    """Run the benchmark and print the summary as JSON."""
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
         fleet.start_platform()
         entries = [fleet.start_node(f"e{i}") for i in range(2)]
@@ -153,7 +153,7 @@
         versions = {}
         done = 0
         for step in STEPS:
-            fill(entries[0], versions, done, step)
+            declare_services(entries[0], versions, done, step)
             done = step
             time.sleep(2.0)
             memory[step] = {
@@ -167,30 +167,30 @@
         busy = measure_rates(meters, CHANGE_SECONDS, make_changes(entries[1], versions))
         wait_until(lambda: entries[0].is_ready(), 5.0, "readiness")
         at_size = {
-            name: multiply_out(idle[name], busy[name], CHANGE_RATE) for name in meters
+            name: extrapolate(idle[name], busy[name], CHANGE_RATE) for name in meters
         }
         for name in meters:
             print(name, "idle", idle[name], "busy", busy[name], "size", at_size[name])
-        use_all(entries[0])
+        use_all_services(entries[0])
         used = entry.read_mb()
     report(memory, used, at_size)
 
 
-def find_most(at_size, role, key):
-    """Return the largest figure of a role's nodes."""
+def find_maximum(at_size, role, key):
+    """Return the maximum of a value over the nodes of a role."""
     return max(row[key] for name, row in at_size.items() if name.startswith(role))
 
 
 def report(memory, used, at_size):
-    """Print the JSON."""
+    """Print the summary as JSON."""
     summary = {
         "rss_mb_idle": memory[0]["entry"],
         "rss_mb_at_30000": memory[SERVICES]["entry"],
         "rss_mb_at_30000_all_in_use": used,
         "rss_mb_beside_endpoint": memory[SERVICES]["beside"],
-        "cpu_percent_at_size": find_most(at_size, "relay", "cpu_percent"),
-        "bytes_per_s_at_size": find_most(at_size, "relay", "bytes_per_s"),
-        "cpu_percent_follower": find_most(at_size, "follower", "cpu_percent"),
+        "cpu_percent_at_size": find_maximum(at_size, "relay", "cpu_percent"),
+        "bytes_per_s_at_size": find_maximum(at_size, "relay", "bytes_per_s"),
+        "cpu_percent_follower": find_maximum(at_size, "follower", "cpu_percent"),
         "cpu_percent_accepting_all": at_size["accepting"]["cpu_percent"],
         "cpu_percent_beside_endpoint": at_size["beside"]["cpu_percent"],
         "bytes_per_s_beside_endpoint": at_size["beside"]["bytes_per_s"],
--- a/bench/declarations.py
+++ b/bench/declarations.py
@@ -1,4 +1,4 @@
-"""Declarations made for benches, and changes through the operators' calls."""
+"""Generated declarations for benchmarks, and changes through the operators' API."""
 
 import json
 import uuid
@@ -16,11 +16,11 @@
     Parameters
     ----------
     number : int
-        Makes the service's name and addresses.
+        Number from which the service's name and addresses are derived.
     endpoints : int
-        How many.
+        Number of endpoints.
     timeout_ms : int
-        Tells one version from another.
+        Timeout of the write route, which distinguishes versions.
     """
     name = f"service-{number}"
     content = {
@@ -42,21 +42,21 @@
 
 
 def change_services(node, documents, versions):
-    """Put documents in force; return the revision.
+    """Apply documents through a node and return the revision.
 
     Parameters
     ----------
     node : NodeProcess
-        Whom to ask.
+        Node that receives the request.
     documents : list of bytes
-        One a service.
+        One document per service.
     versions : dict
-        The version of each service that is expected; updated.
+        Expected version per service; updated in place.
 
     Raises
     ------
     RuntimeError
-        If it is not accepted.
+        If the change is not accepted.
     """
     names = [json.loads(document)["service"] for document in documents]
     changes = [
--- a/bench/ideal.py
+++ b/bench/ideal.py
@@ -1,8 +1,9 @@
-"""The ideal to measure routing against: one queue that sees every slot.
+"""Lower bound for routing latency: a single queue with full knowledge of all slots.
 
-It knows all slots of all endpoints at every moment and binds a request to one
-when it is free, preferring endpoints that are not slow just then. No balancer
-of several nodes can know as much; the distance to it is what not knowing costs.
+The simulated queue knows the state of all slots of all endpoints at every moment. It
+assigns a request to a slot when the slot is free and prefers endpoints that are not
+slow at that time. A balancer of several nodes cannot have this knowledge; the
+difference in latency is the cost of incomplete information.
 """
 
 import heapq
@@ -12,7 +13,7 @@
 
 
 def draw_slow_times(rng, seconds, noise):
-    """Return the (from, until) times at which an endpoint is slow."""
+    """Return the (start, end) times of the periods in which an endpoint is slow."""
     times = []
     at = noise["noise_period_s"] * (0.5 + rng.random()) / 2
     while noise and at < seconds:
@@ -22,32 +23,33 @@
 
 
 def is_slow(times, at):
-    """Tell whether an endpoint is slow at a time."""
+    """Return whether an endpoint is slow at a time."""
     return any(start <= at < end for start, end in times)
 
 
 def compute_ideal(arrivals, endpoints, slots, service, noise, seed=0):
-    """Return the time of each answer in seconds.
+    """Return the latency of each request in seconds.
 
     Parameters
     ----------
     arrivals : list of float
-        When requests come, in order.
+        Arrival times of the requests, in order.
     endpoints, slots : int
-        How many, and how many slots each.
+        Number of endpoints, and of slots per endpoint.
     service : float
-        Mean seconds in a slot, spread evenly from half to one and a half.
+        Mean service time in seconds; times are uniform from half to one and a half
+        of it.
     noise : dict
-        The stand-in's noise settings, empty for none.
+        Noise settings of the stand-in; empty for no noise.
     seed : int
-        Of the random source.
+        Seed of the random number generator.
     """
     rng = random.Random(seed)
     end = arrivals[-1]
     slow = [draw_slow_times(rng, end, noise) if noise else [] for _ in range(endpoints)]
     free = [(0.0, number % endpoints) for number in range(endpoints * slots)]
     heapq.heapify(free)
-    answers = []
+    latencies = []
     for at in arrivals:
         start = max(at, free[0][0])
         number = choose_slot(free, slow, start)
@@ -59,12 +61,12 @@
         if is_slow(slow[endpoint], start):
             seconds *= noise["noise_factor"]
         heapq.heappush(free, (start + seconds, endpoint))
-        answers.append(start + seconds - at)
-    return answers
+        latencies.append(start + seconds - at)
+    return latencies
 
 
 def choose_slot(free, slow, start):
-    """Return the index of a free slot, of an endpoint that is not slow if any."""
+    """Return the index of a free slot, preferably of an endpoint that is not slow."""
     usable = [i for i, (free_at, _) in enumerate(free) if free_at <= start]
     for index in usable:
         if not is_slow(slow[free[index][1]], start):
--- a/bench/main.py
+++ b/bench/main.py
@@ -1,4 +1,4 @@
-"""Runs a bench by name: ``make bench NAME=added-latency``."""
+"""Run a benchmark by name: ``make bench NAME=added-latency``."""
 
 import sys
 
@@ -8,7 +8,7 @@
 
 
 def main():
-    """Run the bench that the first argument names."""
+    """Run the benchmark that the first argument names."""
     name = sys.argv[1] if len(sys.argv) > 1 else ""
     bench = BENCHES.get(name)
     if bench is None:
--- a/bench/nodelog.py
+++ b/bench/nodelog.py
@@ -1,4 +1,4 @@
-"""Reading nodes' log events: when a revision came into force where."""
+"""Times at which revisions came into force, read from the logs of nodes."""
 
 import json
 from dataclasses import dataclass, field
@@ -13,16 +13,16 @@
 
 @dataclass
 class InForce:
-    """What the logs of a fleet tell of its configurations; times in seconds.
+    """Configuration events from the logs of a fleet; times in seconds.
 
     Attributes
     ----------
     accepted : dict
-        When each revision was accepted.
+        Time at which each revision was accepted.
     nodes : dict
-        For each node, when each revision came into force.
+        Per node, the time at which each revision came into force.
     reverts : int
-        How often a node's revision went back.
+        Number of times that a node's revision went back.
     """
 
     accepted: dict = field(default_factory=dict)
@@ -30,10 +30,10 @@
     reverts: int = 0
 
     def measure(self, revision, names):
-        """Return the seconds until a revision was in force, one a node.
+        """Return the seconds until a revision was in force at each node.
 
-        A node that went from an older to a newer one has it from then on; one
-        that never came to it counts as infinity.
+        A node that skipped the revision counts from its first newer one; a node
+        that never reached it counts as infinity.
         """
         start = self.accepted[revision]
         seconds = []
@@ -50,14 +50,14 @@
             try:
                 yield json.loads(line)
             except ValueError:
-                continue  # The last line of a node that was killed.
+                continue  # A killed node may leave an incomplete last line.
 
 
 def read_in_force(files):
-    """Return the InForce of log files by node's name."""
+    """Read the configuration events from log files by node name."""
     found = InForce()
     for name, file in files.items():
-        held = found.nodes.setdefault(name, {})
+        in_force_at = found.nodes.setdefault(name, {})
         newest = 0
         for event in read_lines(file):
             at = datetime.strptime(event["asctime"], TIME_FORMAT).timestamp()
@@ -66,5 +66,5 @@
             if event["event"] == Event.CONFIGURATION_IN_FORCE.number:
                 found.reverts += event["revision"] < newest
                 newest = max(newest, event["revision"])
-                held.setdefault(event["revision"], at)
+                in_force_at.setdefault(event["revision"], at)
     return found
--- a/bench/openloop.py
+++ b/bench/openloop.py
@@ -1,4 +1,4 @@
-"""Open-loop load: requests leave at set times, whatever the answers do."""
+"""Open-loop load: requests are sent at set times, independent of the answers."""
 
 import heapq
 import time
@@ -10,21 +10,21 @@
 
 __all__ = ["Arrival", "Sample", "compute_quantile", "draw_arrivals", "run_arrivals"]
 
-ANSWER_SECONDS = 10.0
+ANSWER_TIMEOUT_SECONDS = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request to send.
+    """Scheduled request.
 
     Parameters
     ----------
     at : float
         Seconds from the start of the run.
     address : str
-        Where to send it.
+        Target address.
     method, path : str
-        What to ask for.
+        Method and path of the request.
     """
 
     at: float
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What became of an arrival; seconds from when it was due."""
+    """Result of an arrival; its latency counts from the scheduled time."""
 
     arrival: Arrival
     status: int
@@ -49,9 +49,9 @@
     Parameters
     ----------
     rng : random.Random
-        Source of times and choices.
+        Random number generator for times and choices.
     rate : float
-        Requests a second.
+        Requests per second.
     seconds : float
         Length of the run.
     addresses : list of str
@@ -70,7 +70,7 @@
 
 
 class Sender:
-    """Keeps connections open and sends one request at a time on each."""
+    """Sender of requests that reuses connections, one request at a time on each."""
 
     def __init__(self):
         self.idle = {}
@@ -78,10 +78,10 @@
         self.open = 0
 
     def send(self, arrival, due):
-        """Send one request and note what became of it."""
+        """Send one request and record its result."""
         connection = None
         try:
-            connection = self._take(arrival.address)
+            connection = self._acquire_connection(arrival.address)
             connection.collect()
             connection.begin(arrival.method, arrival.path)
             connection.putheader("Host", arrival.address)
@@ -90,7 +90,7 @@
                 connection.putheader("Content-Length", str(len(body)))
             connection.endheaders(body or None)
             connection.flush()
-            connection.set_time_limit(ANSWER_SECONDS)
+            connection.set_time_limit(ANSWER_TIMEOUT_SECONDS)
             response = connection.read_head()
             response.read_whole()
             reason = response.get("Hingesill-Reason") or ""
@@ -107,7 +107,7 @@
             self.open -= 1
         self.samples.append(sample)
 
-    def _take(self, address):
+    def _acquire_connection(self, address):
         idle = self.idle.get(address)
         while idle:
             connection = idle.pop()
@@ -127,7 +127,7 @@
 
 
 def run_arrivals(arrivals, sender=None):
-    """Send all arrivals when they are due; return the samples."""
+    """Send all arrivals at their scheduled times and return the samples."""
     sender = sender or Sender()
     sender.samples = []
     start = time.monotonic() + 0.02
@@ -144,7 +144,7 @@
 
 
 def compute_quantile(values, share):
-    """Return the value that a share of all values does not exceed.
+    """Return the quantile of the values at the given share.
 
     Raises
     ------
--- a/bench/probe_cost.py
+++ b/bench/probe_cost.py
@@ -1,4 +1,4 @@
-"""Probes against the budget: a rush, replaced nodes, a frozen holder, an outage."""
+"""Probe rate compared with the budget under load peaks, node faults and an outage."""
 
 import json
 import random
@@ -21,12 +21,12 @@
 WINDOW = 10.0
 SERVICE_MS = 6.0
 REQUESTS = (("GET", "/arena/boards/1", 8), ("POST", "/arena/games", 2))
-CALM_RATE, RUSH_RATE = 30, 600
-CALM_SECONDS, RUSH_SECONDS = 20.0, 12.0
+BASE_RATE, PEAK_RATE = 30, 600
+BASE_SECONDS, PEAK_SECONDS = 20.0, 12.0
 
 
 def build_declaration(endpoints):
-    """Return the service's declaration."""
+    """Return the declaration of the service."""
     return {
         "service": "arena",
         "endpoints": [{"address": e, "data_centre": "lsn-a"} for e in endpoints],
@@ -43,7 +43,7 @@
 
 
 def read_probe_times(fleet):
-    """Return when endpoints were probed, sorted."""
+    """Return the sorted times of all probes."""
     times = [
         at
         for endpoint in fleet.endpoints
@@ -53,7 +53,7 @@
 
 
 def find_largest_window(times):
-    """Return the most probes in any window."""
+    """Return the maximum number of probes in any window."""
     return max(
         (sum(at < start + WINDOW for at in times[i:]) for i, start in enumerate(times)),
         default=0,
@@ -61,7 +61,7 @@
 
 
 def replace_node(fleet, victim, number):
-    """End a node without notice and start another."""
+    """Kill a node and start another."""
     victim.process.kill()
     victim.process.wait()
     fleet.forget(victim)
@@ -69,7 +69,7 @@
 
 
 def run_phases(fleet, workers, rng, phases):
-    """Run all phases; note when each began."""
+    """Run all phases and record the start time of each."""
 
     def load(rate, seconds):
         addresses = [
@@ -78,36 +78,36 @@
         return workers.run(rng.random(), rate, seconds, addresses, REQUESTS)
 
     phases["calm"] = time.monotonic()
-    load(CALM_RATE, CALM_SECONDS)
+    load(BASE_RATE, BASE_SECONDS)
     phases["rush"] = time.monotonic()
-    load(RUSH_RATE, RUSH_SECONDS)
+    load(PEAK_RATE, PEAK_SECONDS)
     phases["replacements"] = time.monotonic()
     for number in range(6):
         victims = [n for n in fleet.nodes.values() if n.process.poll() is None]
         replace_node(fleet, rng.choice(victims), number)
-        load(CALM_RATE, 3.0)
+        load(BASE_RATE, 3.0)
     phases["frozen holders"] = time.monotonic()
     frozen = list(fleet.nodes.values())[: NODES // 2]
     for node in frozen:
         node.process.send_signal(signal.SIGSTOP)
     for node in frozen:
         fleet.nodes.pop(node.name)
-    load(CALM_RATE, PROBE_SHARE_TTL_SECONDS + 6.0)
+    load(BASE_RATE, PROBE_SHARE_TTL_SECONDS + 6.0)
     for node in frozen:
         node.process.send_signal(signal.SIGCONT)
         fleet.nodes[node.name] = node
-    load(CALM_RATE, 8.0)
+    load(BASE_RATE, 8.0)
     phases["store outage"] = time.monotonic()
     fleet.set_store_faults(down=True)
-    load(CALM_RATE, PROBE_SHARE_TTL_SECONDS + 8.0)
+    load(BASE_RATE, PROBE_SHARE_TTL_SECONDS + 8.0)
     fleet.set_store_faults()
     phases["store back"] = time.monotonic()
-    load(CALM_RATE, 14.0)
+    load(BASE_RATE, 14.0)
     phases["end"] = time.monotonic()
 
 
 def run():
-    """Run the bench and print its JSON."""
+    """Run the benchmark and print the summary as JSON."""
     rng = random.Random(3)
     phases = {}
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
@@ -124,7 +124,7 @@
 
 
 def report(times, phases):
-    """Print the rows of all phases and the JSON."""
+    """Print the rows of all phases and the summary as JSON."""
     starts = list(phases.items())
     rows = {}
     for (name, start), (_, end) in zip(starts, starts[1:]):
--- a/bench/propagation.py
+++ b/bench/propagation.py
@@ -1,4 +1,4 @@
-"""From accepted to in force at the last node, with kills, freezes and outages."""
+"""Time from acceptance of a change to its use at every node, also under faults."""
 
 import json
 import signal
@@ -22,21 +22,21 @@
 QUIET_CHANGES = 20
 PAUSE_SECONDS = 0.25
 FAULT_CHANGES = 8
-FROZEN_SECONDS = 6.0
+SUSPEND_SECONDS = 6.0
 OUTAGE_SECONDS = 8.0
-START_AT_ONCE = 12
+START_BATCH_SIZE = 12
 SETTLE_SECONDS = 13.0
 
 
 class Run:
-    """One fleet and the changes made on it.
+    """Fleet and the changes made on it.
 
     Parameters
     ----------
     fleet : Fleet
         Starts the nodes.
     count, centres : int
-        Nodes and data centres.
+        Number of nodes and of data centres.
     """
 
     def __init__(self, fleet, count, centres):
@@ -46,12 +46,12 @@
         self.timeout_ms = 1000
         self.phases = {}
         fleet.start_platform()
-        for start in range(0, count, START_AT_ONCE):
-            numbers = range(start, min(count, start + START_AT_ONCE))
+        for start in range(0, count, START_BATCH_SIZE):
+            numbers = range(start, min(count, start + START_BATCH_SIZE))
             nodes = [self.start_node(number, centres) for number in numbers]
             for node in nodes:
                 fleet.wait_ready(node)
-        time.sleep(4.0)  # Until every node has seen the whole list.
+        time.sleep(4.0)  # Time for every node to receive the full node list.
 
     def start_node(self, number, centres):
         """Start one node."""
@@ -61,17 +61,17 @@
         return node
 
     def list_running(self):
-        """Return the nodes that run."""
+        """Return the running nodes."""
         return [n for n in self.fleet.nodes.values() if n.process.poll() is None]
 
     def change(self, node):
-        """Make one change; return its revision."""
+        """Make one change and return its revision."""
         self.timeout_ms += 1
         document = build_document(1, 10, self.timeout_ms)
         return change_services(node, [document], self.versions)
 
     def make_changes(self, phase, count):
-        """Make changes at several nodes in turn, and note their revisions."""
+        """Make changes at several nodes in turn and record their revisions."""
         running = self.list_running()
         revisions = self.phases.setdefault(phase, ([], []))
         revisions[1][:] = [node.name for node in running]
@@ -89,28 +89,28 @@
         raise LookupError("no relay")
 
     def kill_relay(self):
-        """End a relay right after a change was accepted."""
+        """Kill a relay, then make changes."""
         relay = self.find_relay()
         relay.process.kill()
         relay.process.wait()
         self.make_changes("relay killed", FAULT_CHANGES)
 
     def freeze_relay(self):
-        """Freeze a relay while changes are made, and wake it."""
+        """Suspend a relay while changes are made, then resume it."""
         relay = self.find_relay()
         relay.process.send_signal(signal.SIGSTOP)
         running = [n for n in self.list_running() if n.name != relay.name]
         revisions = self.phases.setdefault("relay frozen", ([], []))
         revisions[1][:] = [node.name for node in running]
-        end = time.monotonic() + FROZEN_SECONDS
+        end = time.monotonic() + SUSPEND_SECONDS
         while time.monotonic() < end:
             revisions[0].append(self.change(running[len(revisions[0]) % len(running)]))
             time.sleep(PAUSE_SECONDS * 3)
         relay.process.send_signal(signal.SIGCONT)
         wait_until(relay.is_ready, 10.0, "the woken relay")
 
-    def take_store_away(self):
-        """Take the store away; make changes once it is back."""
+    def run_store_outage(self):
+        """Make the store unavailable for a time; make changes once it is back."""
         self.fleet.set_store_faults(down=True)
         time.sleep(OUTAGE_SECONDS)
         self.fleet.set_store_faults()
@@ -125,13 +125,13 @@
         self.make_changes("after a store outage", FAULT_CHANGES)
 
     def slow_store(self):
-        """Make each call to the store slow."""
+        """Make changes while each call to the store is slow."""
         self.fleet.set_store_faults(slow_s=0.4)
         self.make_changes("store slow", FAULT_CHANGES)
         self.fleet.set_store_faults()
 
     def count_bytes(self):
-        """Return the bytes to and from peers by node."""
+        """Return the bytes exchanged with peers by node."""
         counted = {}
         for node in self.list_running():
             reply = Client(node.control).call("Status", pb.StatusRequest(), 3.0)
@@ -141,12 +141,12 @@
 
 
 def count_calls(fleet):
-    """Return all calls that the store has counted."""
+    """Return the total number of calls counted by the store."""
     return sum(fleet.count_store_calls().values())
 
 
 def measure(count, centres):
-    """Return the row of one size."""
+    """Run all phases at one fleet size and return its row of results."""
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
         run = Run(fleet, count, centres)
         run.change(run.list_running()[0])
@@ -162,19 +162,19 @@
         ]
         run.kill_relay()
         run.freeze_relay()
-        run.take_store_away()
+        run.run_store_outage()
         run.slow_store()
         time.sleep(SETTLE_SECONDS)
-        found = read_in_force(run.logs)
-    return summarise(run, found, count, calls, rates, memory)
+        in_force = read_in_force(run.logs)
+    return summarise(run, in_force, count, calls, rates, memory)
 
 
-def summarise(run, found, count, calls, rates, memory):
-    """Return the figures of one size."""
+def summarise(run, in_force, count, calls, rates, memory):
+    """Return the results of one fleet size."""
     phases = {}
     for phase, (revisions, names) in run.phases.items():
-        seconds = [s for r in revisions for s in found.measure(r, names)]
-        last = [max(found.measure(r, names)) for r in revisions]
+        seconds = [s for r in revisions for s in in_force.measure(r, names)]
+        last = [max(in_force.measure(r, names)) for r in revisions]
         phases[phase] = {
             "in_force_p50_s": round(compute_quantile(seconds, 0.5), 3),
             "in_force_max_s": round(max(last), 3),
@@ -187,14 +187,14 @@
         "store_calls_per_s": round(calls, 1),
         "bytes_per_s_per_node_max": round(max(rates)),
         "changes_per_s": round(1 / PAUSE_SECONDS, 1),
-        "reverts": found.reverts,
+        "reverts": in_force.reverts,
         "rss_mb_max": round(max(memory) / 1e6),
         "phases": phases,
     }
 
 
 def run():
-    """Run the bench and print its JSON."""
+    """Run the benchmark and print the summary as JSON."""
     rows = []
     sizes = SIZES[:1] if "quick" in sys.argv else SIZES
     for count, centres in sizes:
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -1,4 +1,4 @@
-"""The registry of benches."""
+"""Registry of benchmarks."""
 
 import importlib
 
@@ -18,7 +18,7 @@
 
 
 def register_lazily(module):
-    """Enter a bench under its name; its module is imported when it runs."""
+    """Register a benchmark by name; its module is imported when it runs."""
 
     @BENCHES.register(module.replace("_", "-"))
     def run():
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -1,8 +1,8 @@
-"""Policies against each other on real processes, with noisy neighbours.
+"""Comparison of routing policies on real processes with noisy neighbours.
 
-All policies run on the same nodes and endpoints in one run, in turn, with the
-same arrivals and the same noise settings. Arguments: ``zugzwang`` for that
-example alone, ``quick`` for one example and load.
+All policies run alternately on the same nodes and endpoints, with the same arrivals and
+noise settings. Arguments: ``zugzwang`` selects that example only, ``quick`` one example
+and one load, optionally followed by the variants to run.
 """
 
 import json
@@ -25,21 +25,25 @@
 
 SERVICE_MS = 30.0
 SLOTS = 3
-DATA_CENTRE = "lsn-a"  # Loopback has no distances, so there are none here.
+DATA_CENTRE = "lsn-a"  # All on one: loopback has no distances.
 LOADS = (0.4, 0.6, 0.8)
 ROUNDS = 1
 ROUND_SECONDS = 6.0
 WORKERS = 2
 NOISE = {"noise_period_s": 3.0, "noise_length_s": 0.3, "noise_factor": 6.0}
 UNLIMITED = 100
-NO_SENDS = {"hedge_share": 0.0, "retry_share": 0.0}
+NO_EXTRA_SENDS = {"hedge_share": 0.0, "retry_share": 0.0}
 VARIANTS = {
-    "random": {"policy": "random", "places": UNLIMITED, "sends": NO_SENDS},
-    "round_robin": {"policy": "round_robin", "places": UNLIMITED, "sends": NO_SENDS},
+    "random": {"policy": "random", "places": UNLIMITED, "sends": NO_EXTRA_SENDS},
+    "round_robin": {
+        "policy": "round_robin",
+        "places": UNLIMITED,
+        "sends": NO_EXTRA_SENDS,
+    },
     "least_in_flight_of_two": {
         "policy": "least_in_flight_of_two",
         "places": UNLIMITED,
-        "sends": NO_SENDS,
+        "sends": NO_EXTRA_SENDS,
     },
     "chosen": {"policy": "expected_wait"},
 }
@@ -47,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Example:
-    """An example's service with the nodes of its fleet."""
+    """Service of an example and the number of nodes in its fleet."""
 
     name: str
     service: str
@@ -55,7 +59,7 @@
     requests: tuple
 
 
-EXAMPLES_RUN = (
+ROUTING_EXAMPLES = (
     Example(
         "zugzwang",
         "arena",
@@ -73,7 +77,7 @@
 
 @dataclass
 class Tally:
-    """What one variant did at one load."""
+    """Results of one variant at one load."""
 
     seconds: list = field(default_factory=list)
     by_method: dict = field(default_factory=dict)
@@ -85,7 +89,7 @@
     busy: float = 0.0
 
     def summarise(self, capacity_seconds):
-        """Return the row that is printed; times in ms."""
+        """Return the row of results to print; times in ms."""
         times = {
             name: round(compute_quantile(self.seconds, share) * 1000, 1)
             for name, share in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999))
@@ -113,8 +117,8 @@
     raise LookupError(example.service)
 
 
-def put_in_force(fleet, content, variant):
-    """Apply a variant and wait until every node has it."""
+def apply_variant(fleet, content, variant):
+    """Apply a variant and wait until it is in force at every node."""
     node = next(iter(fleet.nodes.values()))
     file = fleet.folder / "service.yaml"
     file.write_text(yaml.safe_dump({**content, **VARIANTS[variant]}))
@@ -125,14 +129,14 @@
 
 
 def read_counts(fleet):
-    """Return what all endpoints ran and refused, and their probes."""
+    """Return the number of requests that endpoints ran or refused, and of probes."""
     records = [fleet.read_record(endpoint) for endpoint in fleet.endpoints]
     sends = sum(sum(r["ran"].values()) + r["refused"] for r in records)
     return sends, sum(r["probes"] for r in records)
 
 
 def run_round(fleet, workers, example, load, noise, number, tally):
-    """Run one round of the variant in force."""
+    """Run one round with the variant that is in force."""
     for endpoint in fleet.endpoints:
         fleet.set_faults(endpoint, service_ms=SERVICE_MS, seed=number, **noise)
     before = read_counts(fleet)
@@ -155,7 +159,7 @@
 
 
 def wait_idle(fleet):
-    """Wait until no endpoint works, so that no round burdens the next."""
+    """Wait until all endpoints are idle, so that rounds do not overlap."""
 
     def is_idle():
         return not any(fleet.read_record(e)["running"] for e in fleet.endpoints)
@@ -164,7 +168,7 @@
 
 
 def compute_ideal_row(fleet, load, noise):
-    """Return the ideal's 99 and 999 in ms."""
+    """Return the latency quantiles of the ideal queue in ms."""
     capacity = len(fleet.endpoints) * SLOTS / (SERVICE_MS / 1000)
     rng = random.Random(7)
     arrivals = []
@@ -180,7 +184,7 @@
 
 
 def run_example(example, loads, variants, results):
-    """Run all variants of one example, in turn."""
+    """Run all variants of one example alternately."""
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
         content = load_example(example)
         fleet.start_platform()
@@ -198,13 +202,13 @@
                 tallies = {variant: Tally() for variant in variants}
                 for number in range(ROUNDS):
                     for variant, tally in tallies.items():
-                        put_in_force(fleet, content, variant)
+                        apply_variant(fleet, content, variant)
                         run_round(fleet, workers, example, load, noise, number, tally)
                 report(fleet, example, load, noise, tallies, results)
 
 
 def report(fleet, example, load, noise, tallies, results):
-    """Print and keep the rows of one load."""
+    """Print the rows of one load and add them to the results."""
     capacity_seconds = len(fleet.endpoints) * SLOTS * ROUNDS * ROUND_SECONDS
     condition = "noisy" if noise else "quiet"
     rows = {v: t.summarise(capacity_seconds) for v, t in tallies.items()}
@@ -216,15 +220,15 @@
 
 
 def run():
-    """Run the bench and print its JSON."""
+    """Run the benchmark and print the summary as JSON."""
     results = {}
     loads = [(load, NOISE) for load in LOADS] + [(0.6, {})]
-    examples = EXAMPLES_RUN
+    examples = ROUTING_EXAMPLES
     variants = VARIANTS
     if "zugzwang" in sys.argv:
-        examples = EXAMPLES_RUN[:1]
+        examples = ROUTING_EXAMPLES[:1]
     if "quick" in sys.argv:
-        loads, examples = [(0.6, NOISE)], EXAMPLES_RUN[:1]
+        loads, examples = [(0.6, NOISE)], ROUTING_EXAMPLES[:1]
         variants = sys.argv[sys.argv.index("quick") + 1 :] or VARIANTS
     for example in examples:
         run_example(example, loads, variants, results)
--- a/bench/start.py
+++ b/bench/start.py
@@ -1,4 +1,4 @@
-"""Processor time of a start on the platform: from its sources and from one file."""
+"""CPU time of a start on the platform, from source files and from a bundle."""
 
 import os
 import statistics
@@ -10,10 +10,10 @@
 __all__ = ["run"]
 
 ROOT = Path(__file__).parent.parent
-PAIRS = 9
-INTERPRETER = "pass"
-SOURCES = "import adapter.start"
-BUNDLE = """
+ROUNDS = 9
+EMPTY_PROGRAM = "pass"
+SOURCE_START = "import adapter.start"
+BUNDLE_START = """
 import gc
 gc.disable()
 from hingesill_node.bundle import open_bundle
@@ -23,7 +23,7 @@
 
 
 def measure(code):
-    """Return the processor seconds of a fresh interpreter that runs some code."""
+    """Return the CPU seconds of a new interpreter that runs the code."""
     before = os.times()
     environ = {
         **os.environ,
@@ -32,27 +32,27 @@
     }
     subprocess.run([sys.executable, "-c", code], check=True, env=environ)
     after = os.times()
-    spent = after.children_user - before.children_user
-    return spent + after.children_system - before.children_system
+    cpu_user = after.children_user - before.children_user
+    return cpu_user + after.children_system - before.children_system
 
 
 def run():
-    """Write a bundle, then measure in turn and print the medians."""
+    """Write a bundle, measure the variants alternately and print the medians."""
     with tempfile.TemporaryDirectory() as folder:
         path = f"{folder}/start.bundle"
         environ = {**os.environ, "PYTHONPATH": str(ROOT / "platform")}
         writer = [sys.executable, str(ROOT / "deploy" / "bundle.py"), path]
         subprocess.run(writer, check=True, env=environ)
         codes = {
-            "the interpreter alone": INTERPRETER,
-            "from its sources": SOURCES,
-            "from one file": BUNDLE.format(path=path),
+            "the interpreter alone": EMPTY_PROGRAM,
+            "from its sources": SOURCE_START,
+            "from one file": BUNDLE_START.format(path=path),
         }
         times = {name: [] for name in codes}
-        for _ in range(PAIRS):
+        for _ in range(ROUNDS):
             for name, code in codes.items():
                 times[name].append(measure(code))
     for name, values in times.items():
         low, high = min(values), max(values)
-        middle = statistics.median(values)
-        print(f"{name:22} {middle:.3f} s, {low:.3f} to {high:.3f}")
+        median = statistics.median(values)
+        print(f"{name:22} {median:.3f} s, {low:.3f} to {high:.3f}")
--- a/bench/worker.py
+++ b/bench/worker.py
@@ -1,4 +1,4 @@
-"""A process that sends load: one JSON line in for a run, one out with samples."""
+"""Load generator process: reads one JSON line per run, writes one with samples."""
 
 import json
 import random
@@ -13,12 +13,12 @@
 
 
 class Workers:
-    """Several sending processes, so that none of them becomes the limit.
+    """Several load generator processes, so that none becomes the bottleneck.
 
     Parameters
     ----------
     count : int
-        How many.
+        Number of processes.
     """
 
     def __init__(self, count):
@@ -34,23 +34,23 @@
         self._threads = ThreadPoolExecutor(count)
 
     def run(self, seed, rate, seconds, addresses, requests):
-        """Return (method, path, status, seconds, reason) of all arrivals."""
+        """Send load; return (method, path, status, seconds, reason) of each arrival."""
         share = rate / len(self.processes)
 
-        def ask(number, process):
-            order = [f"{seed}-{number}", share, seconds, addresses, requests]
-            process.stdin.write(json.dumps(order) + "\n")
+        def run_on_worker(number, process):
+            parameters = [f"{seed}-{number}", share, seconds, addresses, requests]
+            process.stdin.write(json.dumps(parameters) + "\n")
             process.stdin.flush()
             return json.loads(process.stdout.readline())
 
         jobs = [
-            self._threads.submit(ask, number, process)
+            self._threads.submit(run_on_worker, number, process)
             for number, process in enumerate(self.processes)
         ]
         return [tuple(sample) for job in jobs for sample in job.result()]
 
     def close(self):
-        """End the processes."""
+        """Stop the processes."""
         for process in self.processes:
             process.stdin.close()
             process.wait(5)
@@ -60,7 +60,7 @@
 
 @contextmanager
 def start_workers(count):
-    """Start workers and end them after the block."""
+    """Start workers and stop them after the block."""
     workers = Workers(count)
     try:
         yield workers
@@ -69,7 +69,7 @@
 
 
 def main():
-    """Run what each line of the standard input asks for."""
+    """Execute the run described by each line of standard input."""
     sender = Sender()
     for line in sys.stdin:
         seed, rate, seconds, addresses, requests = json.loads(line)
