--- a/matrix/changes.py
+++ b/matrix/changes.py
@@ -28,7 +28,7 @@
     ----------
     operation : str
         Id of the operation.
-    told : list of int
+    outcomes : list of int
         Outcomes reported to the operator, in order.
     seconds : float or None
         Time from the last answer until the change was in force everywhere; None if
@@ -46,7 +46,7 @@
     """
 
     operation: str
-    told: list = field(default_factory=list)
+    outcomes: list = field(default_factory=list)
     seconds: float | None = None
     went_back: list = field(default_factory=list)
     appeared: bool = False
@@ -60,7 +60,7 @@
             yield f"{name} went back to an older revision"
         if self.entries > 1:
             yield f"took effect {self.entries} times"
-        final = self.told[-1] if self.told else None
+        final = self.outcomes[-1] if self.outcomes else None
         if final == pb.ACCEPTED and not self.appeared:
             yield "accepted, but not in force"
         if final == pb.ACCEPTED and self.seconds is None:
@@ -139,17 +139,17 @@
         )
         reply = Client(node.control).call("Apply", request, 9.0)
         failed = isinstance(reply, CallFailed)
-        record.told.append(pb.UNKNOWN if failed else reply.outcome)
+        record.outcomes.append(pb.UNKNOWN if failed else reply.outcome)
         return record
 
     def repeat_until_known(self, record):
         """Repeat a change of unknown outcome, by its id, until it is known."""
         deadline = time.monotonic() + REPEAT_SECONDS
-        while record.told[-1] == pb.UNKNOWN and time.monotonic() < deadline:
+        while record.outcomes[-1] == pb.UNKNOWN and time.monotonic() < deadline:
             time.sleep(0.3)
             for node in self.list_running():
                 self.change(node, record, record.document, record.expected)
-                if record.told[-1] != pb.UNKNOWN:
+                if record.outcomes[-1] != pb.UNKNOWN:
                     break
 
     def list_running(self):
@@ -174,7 +174,7 @@
     def watch(self, record):
         """Wait until a change is in force everywhere or the time limit has passed."""
         self.evidence.changes.append(record)
-        if record.told[-1] != pb.ACCEPTED:
+        if record.outcomes[-1] != pb.ACCEPTED:
             time.sleep(0.5)
             held = [self.read_held(node) for node in self.list_running()]
             record.appeared = any(h and h[1] == record.document for h in held)
--- a/matrix/changesteps.py
+++ b/matrix/changesteps.py
@@ -40,11 +40,11 @@
     fault.end(stage)
     for record in records:
         stage.repeat_until_known(record)
-    accepted = [record for record in records if record.told[-1] == pb.ACCEPTED]
+    accepted = [record for record in records if record.outcomes[-1] == pb.ACCEPTED]
     for record in accepted[:1]:
         stage.watch(record)
     if len(accepted) > 1:
-        accepted[1].told.append(pb.ACCEPTED)
+        accepted[1].outcomes.append(pb.ACCEPTED)
         stage.evidence.changes.append(accepted[1])  # Both accepted: a violation.
 
 
--- a/model/lives.py
+++ b/model/lives.py
@@ -98,10 +98,10 @@
         left = state._replace(announced=leaving, in_flight=announced)
         steps.append(("it begins to leave", left))
     if announced.incarnation < MAX_INCARNATIONS:
-        begun = state._replace(
+        restarted = state._replace(
             announced=Entry(announced.incarnation + 1, 1), in_flight=announced
         )
-        steps.append(("it starts again", begun))
+        steps.append(("it starts again", restarted))
     return [(label, after) for label, after in steps if after != state]
 
 
