--- a/matrix/mutant.py
+++ b/matrix/mutant.py
@@ -78,14 +78,14 @@
 @MUTATIONS.register("ignores drains")
 def ignore_drains():
     """Send to endpoints that are leaving."""
-    has_place = EndpointState.has_place
+    has_capacity = EndpointState.has_capacity
 
-    def has_place_anyway(self, ticket, now):
+    def has_capacity_anyway(self, ticket, now):
         self.draining_until = 0.0
         self.availability.leaving_until = float("-inf")
-        return has_place(self, ticket, now)
+        return has_capacity(self, ticket, now)
 
-    EndpointState.has_place = has_place_anyway
+    EndpointState.has_capacity = has_capacity_anyway
     EndpointState.is_draining = lambda self, now: False
 
 
@@ -98,7 +98,7 @@
 @MUTATIONS.register("probes without pace")
 def probe_without_pace():
     """Probe all the time, without a share and without spacing."""
-    proberate.ProbeRateLimiter.take = lambda self, share, a_pace, now: True
+    proberate.ProbeRateLimiter.try_acquire = lambda self, share, a_pace, now: True
     prober.choose_probe_target = lambda a_dispatcher, now: next(
         iter(a_dispatcher.states)
     )
@@ -110,7 +110,7 @@
             self._probe_services()
 
     prober.Prober._is_due = lambda self, name, a_pace: bool(
-        self._pacers.setdefault(name, proberate.ProbeRateLimiter())
+        self._rate_limiters.setdefault(name, proberate.ProbeRateLimiter())
     )
     prober.Prober.run = run_freely
 
--- a/packages/hingesill-core/hingesill_core/routing/hedging.py
+++ b/packages/hingesill-core/hingesill_core/routing/hedging.py
@@ -1,4 +1,4 @@
-"""Second sends of requests whose answer is overdue."""
+"""Hedges: second sends of requests whose answer is overdue."""
 
 from hingesill_core.reasons import RetryReason
 from hingesill_core.retries.budget import TokenBudget
@@ -7,19 +7,20 @@
 
 __all__ = ["Hedging"]
 
-# In typical answers' times: with all of the budget and with none of it left.
-EARLIEST = 1.8
-LATEST = 4.5
-# With asked endpoints, in typical answers' times: what a hedge itself takes, with
-# its questions, and what an answer may take before it counts as overdue.
-NEEDS = 1.25
-EARLIEST_ASKED = 1.4
-# Tokens that a hedge leaves for retries where a node may save up more than one. Where
-# it may not, hedges go first: a refused caller can return at once, one that waits for
-# a silent endpoint cannot.
-KEPT_FOR_RETRIES = 1.0
+# Hedge delay with a full budget, in median latencies.
+MIN_DELAY_FACTOR = 1.8
+# Hedge delay with an empty budget, in median latencies.
+MAX_DELAY_FACTOR = 4.5
+# Duration of a hedge with its load queries, in median latencies.
+HEDGE_DURATION_FACTOR = 1.25
+# Smallest hedge delay with load queries, in median latencies.
+MIN_QUERIED_DELAY_FACTOR = 1.4
+# Tokens that a hedge leaves for retries where a node may save more than one. Elsewhere
+# hedges go first: a refused caller can retry immediately, a caller that waits for an
+# unresponsive endpoint cannot.
+RESERVED_RETRY_TOKENS = 1.0
 # Interval of attempts to hedge after one found no token or endpoint, in seconds.
-AGAIN_SECONDS = 0.25
+ATTEMPT_INTERVAL_SECONDS = 0.25
 
 
 class Hedging:
@@ -28,30 +29,32 @@
     Parameters
     ----------
     dispatcher : Dispatcher
-        The service's.
+        Dispatcher of the service.
     share : float
-        Hedges that a request earns, where endpoints are not asked.
+        Hedges earned by each request, where no load queries are used.
     """
 
     def __init__(self, dispatcher, share):
         self.dispatcher = dispatcher
         self.budget = TokenBudget(share)
 
-    def get_overdue_time(self, send):
-        """Return the seconds after which an answer is worth a second send.
+    def get_hedge_delay(self, send):
+        """Return the seconds after which a request without an answer is hedged.
 
         Notes
         -----
-        While much of the budget is left that is soon. As it runs out only the
-        answers that take longest are worth it, so that the budget goes where it
-        shortens the tail. Where endpoints are asked, it goes to answers that are
-        about to miss their target, as late as a second send still helps.
+        The delay is short while much of the budget is left. As it runs out only the
+        slowest answers are hedged, so that the budget shortens the tail. With load
+        queries the budget goes to answers that are about to miss their target, as late
+        as a second send can still meet it.
         """
         median = self.dispatcher.get_latency(send.ticket.route).median
         if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
-            return compute_last_chance(send, median)
-        elapsed = 1 - self.budget.tokens / self.budget.burst
-        return (EARLIEST + (LATEST - EARLIEST) * elapsed) * median
+            return compute_latest_delay(send, median)
+        used_share = 1 - self.budget.tokens / self.budget.burst
+        return (
+            MIN_DELAY_FACTOR + (MAX_DELAY_FACTOR - MIN_DELAY_FACTOR) * used_share
+        ) * median
 
     def start(self, ticket, now):
         """Begin a second send of a request while its first has no answer.
@@ -59,25 +62,25 @@
         Parameters
         ----------
         ticket : Ticket
-            The request; one send of it is under way.
+            The request; one send of it is in flight.
         now : float
             Seconds of the node's clock.
 
         Returns
         -------
-        Ask, Send or Denied
-            Whom to ask first, where to send it, or the rule that forbids it. An
-            Ask after which nothing is sent is told to `end`.
+        LoadQuery, Send or RetryDenied
+            The endpoints to query first, the endpoint to send to, or the reason against
+            it. A LoadQuery without a send afterwards requires a call of `cancel`.
         """
         denial = self._find_denial(ticket, now)
         if denial is not None:
             return RetryDenied(denial)
         if self.dispatcher.service.policy == FRESH_REPORT_POLICY:
-            return self._ask(ticket, now)
+            return self._query(ticket, now)
         return self._send(ticket, now)
 
-    def get_next_try(self, ticket, now):
-        """Return when a second send that did not come about is worth another try.
+    def get_next_attempt_time(self, ticket, now):
+        """Return when to attempt a hedge again after an attempt without a send.
 
         Parameters
         ----------
@@ -89,10 +92,11 @@
         Returns
         -------
         float
-            Seconds of the node's clock; infinite if no rule will allow it any more.
+            Seconds of the node's clock; infinite if the rules forbid any further
+            attempt.
         """
         is_over = self._find_denial(ticket, now) is not None
-        return float("inf") if is_over else now + AGAIN_SECONDS
+        return float("inf") if is_over else now + ATTEMPT_INTERVAL_SECONDS
 
     def _find_denial(self, ticket, now):
         if ticket.sends >= ticket.route.most_sends:
@@ -105,11 +109,11 @@
         return RetryReason.DENIED_TIME if now + p10 > ticket.deadline else None
 
     def _send(self, ticket, now):
-        """Return a Send by what is known already, or Denied."""
+        """Return a Send chosen by known state, or RetryDenied."""
         free = [
             state
             for state in self.dispatcher.states.values()
-            if state.identity not in ticket.tried and state.has_place(ticket, now)
+            if state.identity not in ticket.tried and state.has_capacity(ticket, now)
         ]
         if not free:
             return RetryDenied(RetryReason.DENIED_NO_ENDPOINT)
@@ -118,34 +122,38 @@
         state = self.dispatcher.choose(free, now, self.dispatcher.rng)
         return self.dispatcher.start_send(ticket, state, now, hedge=True)
 
-    def _ask(self, ticket, now):
-        """Return an Ask for a second endpoint, or Denied.
+    def _query(self, ticket, now):
+        """Return a LoadQuery for a second endpoint, or RetryDenied.
 
         Notes
         -----
-        A retry saves an answer that is lost, a hedge one that is late; so both
-        draw on the budget of retries, and hedges leave a token for those.
+        Hedges draw on the budget of retries, as a retry replaces a lost answer and a
+        hedge a late one; they leave a token for retries.
         """
         retries = self.dispatcher.retries
-        kept = min(KEPT_FOR_RETRIES, max(0.0, retries.burst - 1.0))
-        if not retries.spend(keep=kept):
+        reserved = min(RESERVED_RETRY_TOKENS, max(0.0, retries.burst - 1.0))
+        if not retries.spend(reserve=reserved):
             return RetryDenied(RetryReason.DENIED_BUDGET)
-        ask = self.dispatcher.binding.enter_hedge(ticket, now)
-        if ask is None:
+        query = self.dispatcher.binding.add_hedge(ticket, now)
+        if query is None:
             retries.refund()
             return RetryDenied(RetryReason.DENIED_NO_ENDPOINT)
-        return ask
+        return query
 
-    def end(self, ticket):
-        """Take back a hedge that asked and was not sent."""
-        self.dispatcher.binding.leave(ticket)
+    def cancel(self, ticket):
+        """Cancel a hedge that was not sent after its load query; refund its token."""
+        self.dispatcher.binding.remove(ticket)
         self.dispatcher.retries.refund()
 
 
-def compute_last_chance(send, median):
-    """Return the seconds after which a second send can just meet the target."""
+def compute_latest_delay(send, median):
+    """Return the latest hedge delay in seconds that can still meet the target."""
     ticket = send.ticket
     waited = send.started - ticket.arrived
     left = ticket.route.target - ticket.elapsed - waited
-    chance = left - NEEDS * median
-    return chance if chance >= EARLIEST_ASKED * median else LATEST * median
+    delay = left - HEDGE_DURATION_FACTOR * median
+    return (
+        delay
+        if delay >= MIN_QUERIED_DELAY_FACTOR * median
+        else MAX_DELAY_FACTOR * median
+    )
--- a/packages/hingesill-core/hingesill_core/routing/unhealthyreports.py
+++ b/packages/hingesill-core/hingesill_core/routing/unhealthyreports.py
@@ -1,19 +1,20 @@
-"""Whether endpoints that report themselves as unhealthy are passed by.
+"""Whether endpoints that report themselves as unhealthy are skipped.
 
-An endpoint that is down for a while may answer health checks with an error and no
-running requests, and break off all requests. As it looks free it would draw most of
-them. Some endpoints report so though they are healthy, and a service may have no other.
+An endpoint that fails for a while may answer health checks with an error and no running
+requests, and close the connections of all requests. As it looks idle it would attract
+most of them. Some endpoints report so though they are healthy, and a service may have
+no other.
 """
 
 from msgspec import Struct
 
 __all__ = ["UnhealthyReports"]
 
-# Weight of the newest reply in the mean; some twenty replies count.
-WEIGHT = 0.05
-# Share of unhealthy replies above which they are ignored: the other endpoints could not
-# do the work.
-MOST_BELIEVED = 0.5
+# Weight of the newest reply in the mean, which covers about twenty replies.
+REPLY_WEIGHT = 0.05
+# Share of unhealthy replies above which they are ignored, as the other endpoints could
+# not take the load.
+MAX_UNHEALTHY_SHARE = 0.5
 
 
 class UnhealthyReports(Struct):
@@ -22,15 +23,15 @@
     Attributes
     ----------
     share : float
-        Of the replies.
+        Share of the replies.
     """
 
     share: float = 0.0
 
-    def note(self, is_unhealthy):
+    def record(self, is_unhealthy):
         """Add a reply."""
-        self.share += WEIGHT * (is_unhealthy - self.share)
+        self.share += REPLY_WEIGHT * (is_unhealthy - self.share)
 
-    def are_believed(self):
-        """Tell whether unhealthy endpoints are passed by."""
-        return self.share <= MOST_BELIEVED
+    def should_apply(self):
+        """Return whether unhealthy endpoints are skipped."""
+        return self.share <= MAX_UNHEALTHY_SHARE
