--- a/packages/hingesill-node/hingesill_node/datapath/announcements.py
+++ b/packages/hingesill-node/hingesill_node/datapath/announcements.py
@@ -55,7 +55,7 @@
         """
         self._port = port
         self._on_suspicion = on_suspicion
-        port.register_other(self._handle_datagram)
+        port.register_default(self._handle_datagram)
 
     def _handle_datagram(self, data, sender):
         try:
--- a/packages/hingesill-node/hingesill_node/datapath/application.py
+++ b/packages/hingesill-node/hingesill_node/datapath/application.py
@@ -107,8 +107,8 @@
         refused = isinstance(answer, Refusal)
         target = ticket.route.target or ticket.route.timeout
         if not refused:
-            self.counters.latencies[service].note(seconds)
-        ordinary = not refused and ticket.sends <= 1 and seconds <= target
+            self.counters.latencies[service].record(seconds)
+            ordinary = not refused and ticket.sends <= 1 and seconds <= target
         log_event(
             Event.REQUEST_ANSWERED if ordinary else Event.REQUEST_IN_TROUBLE,
             request=request.request_id,
