--- a/packages/hingesill-core/hingesill_core/retries/decision.py
+++ b/packages/hingesill-core/hingesill_core/retries/decision.py
@@ -3,7 +3,7 @@
 from hingesill_core.reasons import Outcome, RefusalReason, RetryReason
 from hingesill_core.routing.messages import Refusal, RetryDenied, SendStatus
 
-__all__ = ["NOT_EXECUTED", "classify_refusal", "decide_retry", "mark_may_have_run"]
+__all__ = ["NOT_DELIVERED", "classify_refusal", "decide_retry", "mark_may_have_run"]
 
 RETRY_REASONS = {
     SendStatus.CONNECT_FAILED: RetryReason.CONNECT_FAILED,
@@ -25,8 +25,8 @@
 }
 
 # Statuses of sends that did not reach the endpoint.
-NOT_EXECUTED = frozenset({SendStatus.CONNECT_FAILED, SendStatus.NOT_SENT})
-DEFINITELY_NOT_RUN = NOT_EXECUTED | {SendStatus.REFUSED}
+NOT_DELIVERED = frozenset({SendStatus.CONNECT_FAILED, SendStatus.NOT_SENT})
+DEFINITELY_NOT_RUN = NOT_DELIVERED | {SendStatus.REFUSED}
 
 
 def mark_may_have_run(ticket, status):
@@ -71,7 +71,7 @@
         return RetryReason.DENIED_NOT_REPEATABLE
     if not ticket.replayable:
         return RetryReason.DENIED_NOT_REPEATABLE
-    if not ticket.may_retry and status not in NOT_EXECUTED:
+    if not ticket.may_retry and status not in NOT_DELIVERED:
         return RetryReason.DENIED_LAYER
     if ticket.sends >= ticket.route.most_sends:
         return RetryReason.DENIED_BUDGET
--- a/packages/hingesill-core/hingesill_core/routing/dispatcher.py
+++ b/packages/hingesill-core/hingesill_core/routing/dispatcher.py
@@ -7,7 +7,7 @@
 from hingesill_core.ratelimits.service import ServiceLimits
 from hingesill_core.reasons import Outcome, RefusalReason
 from hingesill_core.retries.budget import TokenBudget
-from hingesill_core.retries.decision import NOT_EXECUTED, mark_may_have_run
+from hingesill_core.retries.decision import NOT_DELIVERED, mark_may_have_run
 from hingesill_core.routing.availability import AvailabilityRegistry
 from hingesill_core.routing.endpoint_state import EndpointState, ServiceView
 from hingesill_core.routing.hedging import Hedging
@@ -357,7 +357,7 @@
         self._record_latency(send, result, seconds)
         if result.end is SendStatus.ANSWERED:
             self.binding.record_answer(send, seconds, now)
-        if result.end in NOT_EXECUTED:
+        if result.end in NOT_DELIVERED:
             send.ticket.sends -= 1
         # A requested back-off is no sign of an unhealthy endpoint.
         end = SendStatus.REFUSED if result.backoff.seconds else result.end
